--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -166,8 +166,8 @@
     facts.kv_capacity = spec.engine->kv_capacity;
     facts.slots = spec.engine->slots;
     const AnswerEstimate& answers = answers_[service];
-    facts.output = answers.Expect(caller.output);
-    facts.output_deviation = answers.Deviation();
+    facts.output = answers.Estimate(caller.output);
+    facts.output_deviation = answers.StandardDeviation();
     facts.tokens_per_event = spec.engine->tokens_per_event;
     facts.small_route = shares_[service].IsSmall(route->name, now);
     shares_[service].OnRequest(route->name, now);
--- a/servers/entry/answer_estimate.cc
+++ b/servers/entry/answer_estimate.cc
@@ -24,12 +24,12 @@
   squared_error_ = (1 - weight) * squared_error_ + weight * error * error;
 }
 
-std::optional<Tokens> AnswerEstimate::Deviation() const {
+std::optional<Tokens> AnswerEstimate::StandardDeviation() const {
   if (observed_ < kLeastObserved) return std::nullopt;
   return Tokens(static_cast<std::int64_t>(std::sqrt(squared_error_)));
 }
 
-Tokens AnswerEstimate::Expect(Tokens told) const {
+Tokens AnswerEstimate::Estimate(Tokens told) const {
   const auto said = static_cast<double>(told.value());
   if (mean_ <= 0) return told;
   if (said <= 0) return Tokens(static_cast<std::int64_t>(mean_));
--- a/servers/entry/answer_estimate.h
+++ b/servers/entry/answer_estimate.h
@@ -16,11 +16,11 @@
   void Observe(Tokens answer, Tokens expected);
 
   /// Expected length, given what the caller says; 0 says nothing.
-  Tokens Expect(Tokens told) const;
+  Tokens Estimate(Tokens told) const;
 
   /// Standard deviation of answers from what was expected; null before enough
   /// of them were seen.
-  std::optional<Tokens> Deviation() const;
+  std::optional<Tokens> StandardDeviation() const;
 
  private:
   /// Mean of the answers seen, the latest weighing most; 0 before the first.
