--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -194,7 +194,7 @@
   }
   const bool failed = status >= kServerError;
   if (failed && !exchange_->streaming() &&
-      forwarder_.MayRepeatServerError(BootTimeNow())) {
+      forwarder_.CanRetryServerError(BootTimeNow())) {
     CallFailed(CallFailure::kServerError, fmt::format("status {}", status));
     return;
   }
@@ -384,7 +384,7 @@
     return;
   }
   if (sent && progress_by_.has_value() && now >= *progress_by_) {
-    if (!forwarder_.MayGoOnElsewhere(now)) {
+    if (!forwarder_.CanFailOver(now)) {
       progress_by_ = now + kProgressRecheck;
       return ArmTimer();
     }
--- a/servers/entry/request_forwarder.cc
+++ b/servers/entry/request_forwarder.cc
@@ -157,7 +157,7 @@
   return Next(now);
 }
 
-bool RequestForwarder::MayGoOnElsewhere(Time now) const {
+bool RequestForwarder::CanFailOver(Time now) const {
   if (current_ == CallKind::kPrefill) return true;
   // A prompt is read again before the stream goes on.
   const double calls = facts_.has_engine ? 2 : 1;
@@ -166,7 +166,7 @@
          pool_->ReadyCount(facts_.service) > 1;
 }
 
-bool RequestForwarder::MayRepeatServerError(Time now) const {
+bool RequestForwarder::CanRetryServerError(Time now) const {
   return Repeatable() && runs_ + 1 < facts_.attempts &&
          budget_->Remaining(now) >= 1 &&
          pool_->ReadyCount(facts_.service) > 1 &&
--- a/servers/entry/request_forwarder.h
+++ b/servers/entry/request_forwarder.h
@@ -127,7 +127,7 @@
   ForwardStep OnWaited(Time now);
   ForwardStep OnPrefillDone(KvSource source, Time now);
   /// The current call failed. A server error may be relayed instead of asking;
-  /// see MayRepeatServerError().
+  /// see CanRetryServerError().
   ForwardStep OnCallFailed(CallFailure failure, Time now);
   ForwardStep OnDeadline();
   /// Bytes of the answer went to the caller.
@@ -139,10 +139,10 @@
 
   /// Whether a run that makes no progress can be ended and go on elsewhere. If
   /// not, its endpoint's silence is no reason to end it.
-  bool MayGoOnElsewhere(Time now) const;
+  bool CanFailOver(Time now) const;
   /// Whether an answer that says that the endpoint failed is worth another
   /// attempt. If not, it is the request's answer.
-  bool MayRepeatServerError(Time now) const;
+  bool CanRetryServerError(Time now) const;
   /// A handle that was never taken and still holds memory; ends with the call.
   std::optional<KvSource> TakeUnusedHandle();
 
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -218,15 +218,15 @@
   budget = RetryBudget(RetryBudgetOptions{.ratio = 0, .floor_per_second = 0.1});
   RequestForwarder forwarder = Make(StreamFacts(true));
   forwarder.Start(kStart);
-  CHECK_TRUE(forwarder.MayGoOnElsewhere(kStart));
+  CHECK_TRUE(forwarder.CanFailOver(kStart));
   forwarder.OnPrefillDone({"10.0.0.1:80", "h"}, kStart);
-  CHECK_FALSE(forwarder.MayGoOnElsewhere(kStart));
+  CHECK_FALSE(forwarder.CanFailOver(kStart));
   budget = RetryBudget(RetryBudgetOptions{.ratio = 0, .floor_per_second = 1});
-  CHECK_TRUE(forwarder.MayGoOnElsewhere(kStart));
+  CHECK_TRUE(forwarder.CanFailOver(kStart));
   RequestForwarder once = Make(StreamFacts(false));
   once.Start(kStart);
   once.OnPrefillDone({"10.0.0.1:80", "h"}, kStart);
-  CHECK_FALSE(once.MayGoOnElsewhere(kStart));
+  CHECK_FALSE(once.CanFailOver(kStart));
 }
 
 // Pattern: a runner dies while the others are full.
