--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -105,7 +105,7 @@
     Issue(*call);
     return;
   }
-  if (const auto* wait = std::get_if<WaitForRoom>(&step)) {
+  if (const auto* wait = std::get_if<WaitForCapacity>(&step)) {
     if (wait_until_ == Time{}) {
       Log(LogLevel::kInfo, "request_waits",
           {{"request", caller_.id.value()},
@@ -134,7 +134,7 @@
     return;
   }
   exchange_->Abort();
-  End("broken_off", 0, std::get<BreakOff>(step).reason);
+  End("broken_off", 0, std::get<AbortStream>(step).reason);
 }
 
 void ForwardedRequest::Issue(const StartCall& call) {
@@ -375,7 +375,7 @@
   }
   if (!call_.has_value()) {
     if (now < wait_until_) return ArmTimer();
-    Take(forwarder_.OnWaited(now));
+    Take(forwarder_.OnWaitElapsed(now));
     return;
   }
   const bool sent = context_.client->WasSent(call_id_);
--- a/servers/entry/request_forwarder.cc
+++ b/servers/entry/request_forwarder.cc
@@ -83,7 +83,7 @@
           .excluded = tried_};
 }
 
-ForwardStep RequestForwarder::OnWaited(Time now) { return Next(now); }
+ForwardStep RequestForwarder::OnWaitElapsed(Time now) { return Next(now); }
 
 double RequestForwarder::FullOccupancy() const {
   if (!facts_.output_deviation.has_value()) return kDefaultFullOccupancy;
@@ -174,13 +174,13 @@
 }
 
 ForwardStep RequestForwarder::OnDeadline() {
-  if (relayed_) return BreakOff{"deadline"};
+  if (relayed_) return AbortStream{"deadline"};
   return Fail{504, "deadline"};
 }
 
 ForwardStep RequestForwarder::GiveUp(std::string_view reason) {
   ReleaseRoom();
-  if (relayed_) return BreakOff{reason};
+  if (relayed_) return AbortStream{reason};
   if (runs_ > 0) return Fail{502, reason};
   return Refuse{reason, RetryAfter()};
 }
@@ -229,7 +229,7 @@
   if (full && !kv_source_.has_value() && runs_ == 0) {
     if (!MayWait(now)) return GiveUp("no runner has room");
     if (!std::exchange(waiting_, true)) pool_->ChangeWaiting(1);
-    return WaitForRoom{now + kRoomPollPeriod, runner->occupancy};
+    return WaitForCapacity{now + kRoomPollPeriod, runner->occupancy};
   }
   StopWaiting();
   if (!kv_source_.has_value() && runner.has_value()) {
--- a/servers/entry/request_forwarder.h
+++ b/servers/entry/request_forwarder.h
@@ -76,7 +76,7 @@
 };
 
 /// No runner has room; ask again at that time.
-struct WaitForRoom {
+struct WaitForCapacity {
   Time until{};
   /// Share of the best runner's memory that would be in use.
   double occupancy = 0;
@@ -95,12 +95,12 @@
 };
 
 /// A stream that has begun can't go on.
-struct BreakOff {
+struct AbortStream {
   std::string_view reason;
 };
 
 using ForwardStep =
-    std::variant<StartCall, WaitForRoom, Refuse, Fail, BreakOff>;
+    std::variant<StartCall, WaitForCapacity, Refuse, Fail, AbortStream>;
 
 enum class CallFailure {
   kNotSent,      ///< No connection; the endpoint saw nothing.
@@ -123,8 +123,8 @@
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
   ForwardStep Start(Time now);
-  /// The time of WaitForRoom has come.
-  ForwardStep OnWaited(Time now);
+  /// The time of WaitForCapacity has come.
+  ForwardStep OnWaitElapsed(Time now);
   ForwardStep OnPrefillDone(KvSource source, Time now);
   /// The current call failed. A server error may be relayed instead of asking;
   /// see CanRetryServerError().
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -207,7 +207,7 @@
   CHECK_TRUE(Call(next).kind == CallKind::kRun);
   CHECK_FALSE(Call(next).endpoint.id == Call(run).endpoint.id);
   CHECK_TRUE(
-      Is<BreakOff>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
+      Is<AbortStream>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
 }
 
 // A link loses packets and many streams fall silent at once: without a budget
@@ -250,8 +250,8 @@
   forwarder.OnPrefillDone({"10.0.0.1:80", "h"}, kStart);
   forwarder.OnRelayed();
   CHECK_TRUE(
-      Is<BreakOff>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
-  CHECK_TRUE(Is<BreakOff>(forwarder.OnDeadline()));
+      Is<AbortStream>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
+  CHECK_TRUE(Is<AbortStream>(forwarder.OnDeadline()));
 }
 
 // Pattern: a burst of streams beyond the runners' memory. A request waits
@@ -262,9 +262,10 @@
                       {EndpointId("decode2"), {9, Hold(99000)}}},
                      5, kStart);
   RequestForwarder forwarder = Make(StreamFacts(false));
-  CHECK_TRUE(Is<WaitForRoom>(forwarder.Start(kStart)));
-  CHECK_TRUE(Is<WaitForRoom>(forwarder.OnWaited(kStart + Milliseconds(100))));
-  const ForwardStep end = forwarder.OnWaited(kStart + Milliseconds(800));
+  CHECK_TRUE(Is<WaitForCapacity>(forwarder.Start(kStart)));
+  CHECK_TRUE(
+      Is<WaitForCapacity>(forwarder.OnWaitElapsed(kStart + Milliseconds(100))));
+  const ForwardStep end = forwarder.OnWaitElapsed(kStart + Milliseconds(800));
   CHECK_TRUE(Is<Refuse>(end));
   CHECK_TRUE(std::get<Refuse>(end).retry_after >= Seconds(1));
 }
@@ -277,7 +278,7 @@
                       {EndpointId("decode2"), {9, Hold(85000)}}},
                      5, kStart);
   RequestForwarder large = Make(StreamFacts(false));
-  CHECK_TRUE(Is<WaitForRoom>(large.Start(kStart)));
+  CHECK_TRUE(Is<WaitForCapacity>(large.Start(kStart)));
   RequestFacts facts = StreamFacts(false);
   facts.small_route = true;
   RequestForwarder small = Make(facts);
@@ -321,7 +322,7 @@
   facts.output_deviation = Tokens(500);
   CHECK_TRUE(Is<StartCall>(Make(facts).Start(kStart)));
   facts.output_deviation = Tokens(4000);
-  CHECK_TRUE(Is<WaitForRoom>(Make(facts).Start(kStart)));
+  CHECK_TRUE(Is<WaitForCapacity>(Make(facts).Start(kStart)));
 }
 
 // Pattern: a burst; each stream holds its room while its prompt is read, and
@@ -352,8 +353,8 @@
                       {EndpointId("decode2"), {9, Hold(99000)}}},
                      5, kStart);
   std::vector<std::unique_ptr<RequestForwarder>> waiting;
-  ForwardStep step = WaitForRoom{};
-  while (Is<WaitForRoom>(step) && waiting.size() < 100) {
+  ForwardStep step = WaitForCapacity{};
+  while (Is<WaitForCapacity>(step) && waiting.size() < 100) {
     waiting.push_back(
         std::make_unique<RequestForwarder>(StreamFacts(false), &pool, &budget));
     step = waiting.back()->Start(kStart);
