--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -223,7 +223,8 @@
 void ForwardedRequest::ReportProgress() {
   if (relayed_events_ - reported_events_ < kEventsPerReport) return;
   reported_events_ = relayed_events_;
-  forwarder_.OnWritten(Tokens(relayed_events_ * facts_.tokens_per_event));
+  forwarder_.OnTokensGenerated(
+      Tokens(relayed_events_ * facts_.tokens_per_event));
   context_.pool->OnProgress(call_->endpoint.id, forwarder_.Memory(),
                             &call_->work);
 }
--- a/servers/entry/request_forwarder.h
+++ b/servers/entry/request_forwarder.h
@@ -133,7 +133,7 @@
   /// Bytes of the answer went to the caller.
   void OnRelayed() { relayed_ = true; }
   /// So much of the answer was written, over all runs.
-  void OnWritten(Tokens written) { written_ = written; }
+  void OnTokensGenerated(Tokens written) { written_ = written; }
   /// KV memory that the run in progress is expected to hold.
   MemoryForecast Memory() const;
 
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -293,10 +293,10 @@
   RequestForwarder forwarder = Make(facts);
   LONGS_EQUAL(5000, forwarder.Memory().Now().value());
   CHECK_TRUE(forwarder.Memory().Peak() > Tokens(11000));
-  forwarder.OnWritten(Tokens(7500));
+  forwarder.OnTokensGenerated(Tokens(7500));
   LONGS_EQUAL(12500, forwarder.Memory().Now().value());
   // Longer than expected: it goes on for a while.
-  forwarder.OnWritten(Tokens(9000));
+  forwarder.OnTokensGenerated(Tokens(9000));
   CHECK_TRUE(forwarder.Memory().Peak() > Tokens(15000));
 }
 
