--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -275,7 +275,7 @@
 }
 
 void ForwardedRequest::OnAnswerWhole() {
-  if (!events_.rest().empty()) {
+  if (!events_.incomplete_event().empty()) {
     CallFailed(CallFailure::kBroken, "the stream ends inside an event");
     return;
   }
--- a/servers/entry/event_splitter.h
+++ b/servers/entry/event_splitter.h
@@ -23,7 +23,7 @@
   /// Id of the last event returned; null before the first with an id.
   std::optional<std::int64_t> last_id() const { return last_id_; }
   /// Bytes of an event that isn't whole yet.
-  const std::string& rest() const { return buffer_; }
+  const std::string& incomplete_event() const { return buffer_; }
   std::int64_t events() const { return events_; }
 
  private:
--- a/tests/entry/event_splitter_test.cc
+++ b/tests/entry/event_splitter_test.cc
@@ -16,7 +16,7 @@
   STRCMP_EQUAL("", splitter.Feed("id: 1\ndata: a").c_str());
   STRCMP_EQUAL("id: 1\ndata: ab\n\n", splitter.Feed("b\n\nid").c_str());
   LONGS_EQUAL(1, splitter.last_id().value());
-  STRCMP_EQUAL("id", splitter.rest().c_str());
+  STRCMP_EQUAL("id", splitter.incomplete_event().c_str());
 }
 
 TEST(EventSplitter, DropsWhatTheCallerHas) {
