--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -105,7 +105,7 @@
     Issue(*call);
     return;
   }
-  if (const auto* wait = std::get_if<WaitForRoom>(&step)) {
+  if (const auto* wait = std::get_if<WaitForCapacity>(&step)) {
     if (wait_until_ == Time{}) {
       Log(LogLevel::kInfo, "request_waits",
           {{"request", caller_.id.value()},
@@ -134,7 +134,7 @@
     return;
   }
   exchange_->Abort();
-  End("broken_off", 0, std::get<BreakOff>(step).reason);
+  End("broken_off", 0, std::get<AbortStream>(step).reason);
 }
 
 void ForwardedRequest::Issue(const StartCall& call) {
@@ -194,7 +194,7 @@
   }
   const bool failed = status >= kServerError;
   if (failed && !exchange_->streaming() &&
-      forwarder_.MayRepeatServerError(BootTimeNow())) {
+      forwarder_.CanRetryServerError(BootTimeNow())) {
     CallFailed(CallFailure::kServerError, fmt::format("status {}", status));
     return;
   }
@@ -223,7 +223,8 @@
 void ForwardedRequest::ReportProgress() {
   if (relayed_events_ - reported_events_ < kEventsPerReport) return;
   reported_events_ = relayed_events_;
-  forwarder_.OnWritten(Tokens(relayed_events_ * facts_.tokens_per_event));
+  forwarder_.OnTokensGenerated(
+      Tokens(relayed_events_ * facts_.tokens_per_event));
   context_.pool->OnProgress(call_->endpoint.id, forwarder_.Memory(),
                             &call_->work);
 }
@@ -274,7 +275,7 @@
 }
 
 void ForwardedRequest::OnAnswerWhole() {
-  if (!events_.rest().empty()) {
+  if (!events_.incomplete_event().empty()) {
     CallFailed(CallFailure::kBroken, "the stream ends inside an event");
     return;
   }
@@ -375,7 +376,7 @@
   }
   if (!call_.has_value()) {
     if (now < wait_until_) return ArmTimer();
-    Take(forwarder_.OnWaited(now));
+    Take(forwarder_.OnWaitElapsed(now));
     return;
   }
   const bool sent = context_.client->WasSent(call_id_);
@@ -384,7 +385,7 @@
     return;
   }
   if (sent && progress_by_.has_value() && now >= *progress_by_) {
-    if (!forwarder_.MayGoOnElsewhere(now)) {
+    if (!forwarder_.CanFailOver(now)) {
       progress_by_ = now + kProgressRecheck;
       return ArmTimer();
     }
--- a/servers/entry/request_forwarder.h
+++ b/servers/entry/request_forwarder.h
@@ -76,7 +76,7 @@
 };
 
 /// No runner has room; ask again at that time.
-struct WaitForRoom {
+struct WaitForCapacity {
   Time until{};
   /// Share of the best runner's memory that would be in use.
   double occupancy = 0;
@@ -95,12 +95,12 @@
 };
 
 /// A stream that has begun can't go on.
-struct BreakOff {
+struct AbortStream {
   std::string_view reason;
 };
 
 using ForwardStep =
-    std::variant<StartCall, WaitForRoom, Refuse, Fail, BreakOff>;
+    std::variant<StartCall, WaitForCapacity, Refuse, Fail, AbortStream>;
 
 enum class CallFailure {
   kNotSent,      ///< No connection; the endpoint saw nothing.
@@ -123,26 +123,26 @@
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
   ForwardStep Start(Time now);
-  /// The time of WaitForRoom has come.
-  ForwardStep OnWaited(Time now);
+  /// The time of WaitForCapacity has come.
+  ForwardStep OnWaitElapsed(Time now);
   ForwardStep OnPrefillDone(KvSource source, Time now);
   /// The current call failed. A server error may be relayed instead of asking;
-  /// see MayRepeatServerError().
+  /// see CanRetryServerError().
   ForwardStep OnCallFailed(CallFailure failure, Time now);
   ForwardStep OnDeadline();
   /// Bytes of the answer went to the caller.
   void OnRelayed() { relayed_ = true; }
   /// So much of the answer was written, over all runs.
-  void OnWritten(Tokens written) { written_ = written; }
+  void OnTokensGenerated(Tokens written) { written_ = written; }
   /// KV memory that the run in progress is expected to hold.
   MemoryForecast Memory() const;
 
   /// Whether a run that makes no progress can be ended and go on elsewhere. If
   /// not, its endpoint's silence is no reason to end it.
-  bool MayGoOnElsewhere(Time now) const;
+  bool CanFailOver(Time now) const;
   /// Whether an answer that says that the endpoint failed is worth another
   /// attempt. If not, it is the request's answer.
-  bool MayRepeatServerError(Time now) const;
+  bool CanRetryServerError(Time now) const;
   /// A handle that was never taken and still holds memory; ends with the call.
   std::optional<KvSource> TakeUnusedHandle();
 
