--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -119,13 +119,13 @@
     RespondControlError(exchange, 400, "heartbeat", ToString(findings));
     return;
   }
-  const bool changed = registry_.Hear(*record, BootTimeNow());
+  const bool changed = registry_.Update(*record, BootTimeNow());
   if (changed) PublishRegistryChange(*registry_.Find(id));
   exchange.Respond(200, kJson, "{}");
 }
 
 void ControlNode::OnDeparture(const EndpointId& id, HttpExchange& exchange) {
-  if (registry_.Depart(id, BootTimeNow())) {
+  if (registry_.MarkDeparted(id, BootTimeNow())) {
     PublishRegistryChange(*registry_.Find(id));
   }
   exchange.Respond(200, kJson, "{}");
@@ -393,7 +393,7 @@
       Log(LogLevel::kWarning, "record_malformed", {{"from", from.value()}});
       continue;
     }
-    changed |= registry_.Hear(record, now);
+    changed |= registry_.Update(record, now);
   }
   if (changed) UpdateFollowers();
   LearnControls(sync.control_instances());
@@ -411,7 +411,7 @@
 void ControlNode::SyncControls(Time now) {
   proto::Sync sync;
   for (const EndpointRecord& record :
-       registry_.HeardSince(last_sync_ - kSyncOverlap)) {
+       registry_.SeenSince(last_sync_ - kSyncOverlap)) {
     *sync.add_records() = cassiausher::ToProto(record);
   }
   sync.add_control_instances(settings_.ip);
--- a/servers/control/endpoint_registry.cc
+++ b/servers/control/endpoint_registry.cc
@@ -2,7 +2,7 @@
 
 namespace cassiausher {
 
-bool EndpointRegistry::Hear(const EndpointRecord& heard, Time now) {
+bool EndpointRegistry::Update(const EndpointRecord& heard, Time now) {
   const auto [found, added] =
       entries_.try_emplace(heard.id, Entry{.record = heard});
   Entry& entry = found->second;
@@ -16,7 +16,7 @@
   return changed;
 }
 
-bool EndpointRegistry::Depart(const EndpointId& id, Time now) {
+bool EndpointRegistry::MarkDeparted(const EndpointId& id, Time now) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) return false;
   Entry& entry = found->second;
@@ -53,7 +53,7 @@
   return ready;
 }
 
-std::vector<EndpointRecord> EndpointRegistry::HeardSince(Time since) const {
+std::vector<EndpointRecord> EndpointRegistry::SeenSince(Time since) const {
   std::vector<EndpointRecord> heard;
   for (const auto& [id, entry] : entries_) {
     if (entry.heard_at >= since) heard.push_back(entry.record);
--- a/servers/control/endpoint_registry.h
+++ b/servers/control/endpoint_registry.h
@@ -28,10 +28,10 @@
       : options_(options) {}
 
   /// Takes a statement. Returns whether it changed what followers must know.
-  bool Hear(const EndpointRecord& heard, Time now);
+  bool Update(const EndpointRecord& heard, Time now);
   /// The endpoint said that it leaves. Returns whether that was news. An id
   /// that was never heard of has nothing to leave.
-  bool Depart(const EndpointId& id, Time now);
+  bool MarkDeparted(const EndpointId& id, Time now);
   /// Forgets endpoints that are long gone.
   void Expire(Time now);
 
@@ -42,7 +42,7 @@
   /// Endpoints of a service that take work. Valid until the next change.
   std::vector<const EndpointRecord*> Ready(const ServiceId& service) const;
   /// Records heard of since `since`, changed or not.
-  std::vector<EndpointRecord> HeardSince(Time since) const;
+  std::vector<EndpointRecord> SeenSince(Time since) const;
   /// Endpoints that are not departed and have been silent.
   std::vector<EndpointId> Silent(Time now) const;
   const EndpointRecord* Find(const EndpointId& id) const;
--- a/tests/control/endpoint_registry_test.cc
+++ b/tests/control/endpoint_registry_test.cc
@@ -33,8 +33,8 @@
 };
 
 TEST(EndpointRegistry, AHeartbeatWithoutNewsChangesNothing) {
-  CHECK_TRUE(registry.Hear(Runner(1, 1), kStart));
-  CHECK_FALSE(registry.Hear(Runner(1, 2), kStart + Seconds(1)));
+  CHECK_TRUE(registry.Update(Runner(1, 1), kStart));
+  CHECK_FALSE(registry.Update(Runner(1, 2), kStart + Seconds(1)));
   CHECK_EQUAL(1u, registry.revision());
   CHECK_EQUAL(1u, registry.ChangedSince(0).size());
   CHECK_EQUAL(0u, registry.ChangedSince(1).size());
@@ -42,49 +42,49 @@
 
 // A heartbeat that was sent before the drain arrives after it.
 TEST(EndpointRegistry, ALateHeartbeatDoesNotEndADrain) {
-  registry.Hear(Runner(1, 5, EndpointLifecycle::kDraining), kStart);
-  CHECK_FALSE(registry.Hear(Runner(1, 4), kStart));
+  registry.Update(Runner(1, 5, EndpointLifecycle::kDraining), kStart);
+  CHECK_FALSE(registry.Update(Runner(1, 4), kStart));
   CHECK_TRUE(registry.Find(EndpointId("r1"))->state ==
              EndpointLifecycle::kDraining);
 }
 
 TEST(EndpointRegistry, ADepartureIsFinalForTheIncarnation) {
-  registry.Hear(Runner(7, 5), kStart);
-  CHECK_TRUE(registry.Depart(EndpointId("r1"), kStart));
-  CHECK_FALSE(registry.Depart(EndpointId("r1"), kStart));
-  registry.Hear(Runner(7, 6), kStart);
+  registry.Update(Runner(7, 5), kStart);
+  CHECK_TRUE(registry.MarkDeparted(EndpointId("r1"), kStart));
+  CHECK_FALSE(registry.MarkDeparted(EndpointId("r1"), kStart));
+  registry.Update(Runner(7, 6), kStart);
   CHECK_TRUE(registry.Find(EndpointId("r1"))->state ==
              EndpointLifecycle::kDeparted);
 }
 
 // A runner may start again under the id that it had; its counts start anew.
 TEST(EndpointRegistry, ALaterStartIsANewEndpoint) {
-  registry.Hear(Runner(7, 50), kStart);
-  registry.Depart(EndpointId("r1"), kStart);
-  CHECK_TRUE(registry.Hear(Runner(8, 1), kStart));
+  registry.Update(Runner(7, 50), kStart);
+  registry.MarkDeparted(EndpointId("r1"), kStart);
+  CHECK_TRUE(registry.Update(Runner(8, 1), kStart));
   CHECK_TRUE(registry.Find(EndpointId("r1"))->state ==
              EndpointLifecycle::kReady);
-  CHECK_FALSE(registry.Hear(Runner(7, 51), kStart));
+  CHECK_FALSE(registry.Update(Runner(7, 51), kStart));
   CHECK_EQUAL(8u, registry.Find(EndpointId("r1"))->born.value());
 }
 
 TEST(EndpointRegistry, SilenceIsReportedAndEnds) {
-  registry.Hear(Runner(1, 1), kStart);
+  registry.Update(Runner(1, 1), kStart);
   CHECK_EQUAL(0u, registry.Silent(kStart + Seconds(1)).size());
   CHECK_EQUAL(1u, registry.Silent(kStart + Seconds(10)).size());
-  registry.Hear(Runner(1, 2), kStart + Seconds(10));
+  registry.Update(Runner(1, 2), kStart + Seconds(10));
   CHECK_EQUAL(0u, registry.Silent(kStart + Seconds(10)).size());
 }
 
 // A repeated statement of another control instance is no sign of life.
 TEST(EndpointRegistry, AnOldStatementIsNoSignOfLife) {
-  registry.Hear(Runner(1, 1), kStart);
-  registry.Hear(Runner(1, 1), kStart + Seconds(9));
+  registry.Update(Runner(1, 1), kStart);
+  registry.Update(Runner(1, 1), kStart + Seconds(9));
   CHECK_EQUAL(1u, registry.Silent(kStart + Seconds(10)).size());
 }
 
 TEST(EndpointRegistry, ForgetsWhatIsLongGone) {
-  registry.Hear(Runner(1, 1), kStart);
+  registry.Update(Runner(1, 1), kStart);
   registry.Expire(kStart + Seconds(60));
   CHECK_EQUAL(1u, registry.size());
   registry.Expire(kStart + Seconds(600));
@@ -108,9 +108,9 @@
     }
     EndpointRegistry first{EndpointRegistryOptions{}};
     EndpointRegistry second{EndpointRegistryOptions{}};
-    for (const auto& record : statements) first.Hear(record, kStart);
+    for (const auto& record : statements) first.Update(record, kStart);
     std::shuffle(statements.begin(), statements.end(), random.engine());
-    for (const auto& record : statements) second.Hear(record, kStart);
+    for (const auto& record : statements) second.Update(record, kStart);
     CHECK_TRUE(*first.Find(EndpointId("r1")) == *second.Find(EndpointId("r1")));
   }
 }
