--- a/main/stage_orders.cc
+++ b/main/stage_orders.cc
@@ -101,7 +101,7 @@
   if (!planned_.has_value() || !leading_since_.has_value()) return;
   const Planned planned = *std::exchange(planned_, std::nullopt);
   if (now - planned.planned_at >= kConfirmTime) return;
-  planned.balancer->Ordered(planned.order, now);
+  planned.balancer->OnOrderSent(planned.order, now);
   changes_[planned.order.endpoint] = {planned.order.role, now};
   sent_.Add();
   Log(LogLevel::kInfo, "stage_ordered",
@@ -132,7 +132,7 @@
       {{"endpoint", planned.order.endpoint.value()},
        {"after_ms", ToMilliseconds(passed)}});
   changes_.erase(planned.order.endpoint);
-  planned.balancer->NotDelivered(planned.order);
+  planned.balancer->OnOrderUndelivered(planned.order);
 }
 
 std::vector<EndpointId> StageOrders::Changing(const EndpointRegistry& registry,
--- a/servers/control/stage_balancer.cc
+++ b/servers/control/stage_balancer.cc
@@ -136,12 +136,12 @@
   return StageOrder{idlest->id, to};
 }
 
-void StageBalancer::NotDelivered(const StageOrder& order) {
+void StageBalancer::OnOrderUndelivered(const StageOrder& order) {
   // The runner itself is passed over for its own pause.
   if (runner_ordered_at_.contains(order.endpoint)) ordered_at_.reset();
 }
 
-void StageBalancer::Ordered(const StageOrder& order, Time now) {
+void StageBalancer::OnOrderSent(const StageOrder& order, Time now) {
   ordered_at_ = now;
   runner_ordered_at_[order.endpoint] = now;
 }
--- a/servers/control/stage_balancer.h
+++ b/servers/control/stage_balancer.h
@@ -77,12 +77,12 @@
   explicit StageBalancer(StageBalancerOptions options) : options_(options) {}
 
   /// Call about each second with all usable runners of the service. Returns an
-  /// order to send now; Ordered() must follow if it was sent.
+  /// order to send now; OnOrderSent() must follow if it was sent.
   std::optional<StageOrder> Step(const std::vector<RunnerLoad>& runners,
                                  Tokens kv_capacity, Time now);
-  void Ordered(const StageOrder& order, Time now);
+  void OnOrderSent(const StageOrder& order, Time now);
   /// The order didn't reach its runner; another one may be asked.
-  void NotDelivered(const StageOrder& order);
+  void OnOrderUndelivered(const StageOrder& order);
 
  private:
   struct Loads {
--- a/tests/control/stage_balancer_test.cc
+++ b/tests/control/stage_balancer_test.cc
@@ -40,7 +40,7 @@
                                 Time from, Duration time) {
     for (Time now = from; now < from + time; now += Milliseconds(600)) {
       if (auto order = balancer.Step(runners, kCapacity, now)) {
-        balancer.Ordered(*order, now);
+        balancer.OnOrderSent(*order, now);
         return order;
       }
     }
@@ -126,7 +126,7 @@
   const auto runners = Runners(1, 8, 12, 30000);
   const auto first = Run(runners, kStart, Seconds(10));
   CHECK_TRUE(first.has_value());
-  balancer.NotDelivered(*first);
+  balancer.OnOrderUndelivered(*first);
   const auto second = Run(runners, kStart + Seconds(10), Seconds(1));
   CHECK_TRUE(second.has_value());
   CHECK_TRUE(second->endpoint != first->endpoint);
@@ -157,7 +157,7 @@
        now += Milliseconds(600)) {
     const auto order = balancer.Step(overloaded, kCapacity, now);
     if (!order.has_value()) continue;
-    balancer.Ordered(*order, now);
+    balancer.OnOrderSent(*order, now);
     orders.push_back(now);
   }
   CHECK_TRUE(orders.size() >= 2);
@@ -179,7 +179,7 @@
           decode_peak ? Runners(3, 6, 0, 70000) : Runners(3, 6, 2, 10000);
       const auto order = swinging.Step(runners, kCapacity, now);
       if (!order.has_value()) continue;
-      swinging.Ordered(*order, now);
+      swinging.OnOrderSent(*order, now);
       ++orders[order->endpoint];
     }
     for (const auto& [id, count] : orders) CHECK_TRUE(count <= 2);
