--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -138,7 +138,7 @@
        {"address", record.address},
        {"state", Name(record.state)},
        {"role", Name(record.role)},
-       {"born", record.born.value()},
+       {"born", record.incarnation.value()},
        {"sequence", record.sequence}});
   proto::Sync sync;
   *sync.add_records() = cassiausher::ToProto(record);
--- a/servers/control/endpoint_record.cc
+++ b/servers/control/endpoint_record.cc
@@ -5,9 +5,9 @@
 namespace cassiausher {
 
 bool Merge(const EndpointRecord& heard, EndpointRecord* known) {
-  if (heard.born < known->born) return false;
+  if (heard.incarnation < known->incarnation) return false;
   EndpointRecord merged = *known;
-  if (heard.born > known->born) {
+  if (heard.incarnation > known->incarnation) {
     merged = heard;
   } else {
     if (heard.sequence > known->sequence) merged = heard;
@@ -53,7 +53,7 @@
   message.set_role(static_cast<proto::EndpointRole>(record.role));
   message.set_state(static_cast<proto::EndpointLifecycle>(record.state));
   message.set_slots(record.slots);
-  message.set_born_ms(record.born.value());
+  message.set_born_ms(record.incarnation.value());
   message.set_sequence(record.sequence);
   return message;
 }
@@ -69,7 +69,7 @@
              .role = static_cast<EndpointRole>(message.role()),
              .state = static_cast<EndpointLifecycle>(message.state()),
              .slots = static_cast<int>(message.slots()),
-             .born = Incarnation(message.born_ms()),
+             .incarnation = Incarnation(message.born_ms()),
              .sequence = message.sequence()};
   return true;
 }
--- a/servers/control/endpoint_record.h
+++ b/servers/control/endpoint_record.h
@@ -25,7 +25,7 @@
   EndpointLifecycle state = EndpointLifecycle::kReady;
   int slots = 1;
   /// Start of this incarnation, in milliseconds since the epoch.
-  Incarnation born{0};
+  Incarnation incarnation{0};
   /// Number of the heartbeat within the incarnation.
   std::uint64_t sequence = 0;
 
--- a/servers/control/endpoint_registry.cc
+++ b/servers/control/endpoint_registry.cc
@@ -8,9 +8,9 @@
   Entry& entry = found->second;
   const EndpointRecord before = entry.record;
   const bool changed = added || Merge(heard, &entry.record);
-  const bool newer =
-      heard.born > before.born ||
-      (heard.born == before.born && heard.sequence > before.sequence);
+  const bool newer = heard.incarnation > before.incarnation ||
+                     (heard.incarnation == before.incarnation &&
+                      heard.sequence > before.sequence);
   if (added || newer) entry.heard_at = now;
   if (changed) entry.changed_at = ++revision_;
   return changed;
--- a/servers/entry/endpoint_pool.cc
+++ b/servers/entry/endpoint_pool.cc
@@ -99,11 +99,11 @@
     entry.changed_at = now;
     return;
   }
-  const Incarnation born = entry.record.born;
+  const Incarnation born = entry.record.incarnation;
   if (!cassiausher::Merge(heard, &entry.record)) return;
   entry.changed_at = now;
   // A new incarnation has nothing of what was observed before.
-  if (entry.record.born == born) return;
+  if (entry.record.incarnation == born) return;
   const int in_flight = entry.in_flight;
   const int reserved = entry.reserved;
   const Tokens tokens = entry.in_flight_tokens;
--- a/tests/control/endpoint_registry_test.cc
+++ b/tests/control/endpoint_registry_test.cc
@@ -22,7 +22,7 @@
           .address = "10.0.0.1:80",
           .role = EndpointRole::kDecode,
           .state = state,
-          .born = Incarnation(born),
+          .incarnation = Incarnation(born),
           .sequence = sequence};
 }
 
@@ -65,7 +65,7 @@
   CHECK_TRUE(registry.Find(EndpointId("r1"))->state ==
              EndpointLifecycle::kReady);
   CHECK_FALSE(registry.Update(Runner(7, 51), kStart));
-  CHECK_EQUAL(8u, registry.Find(EndpointId("r1"))->born.value());
+  CHECK_EQUAL(8u, registry.Find(EndpointId("r1"))->incarnation.value());
 }
 
 TEST(EndpointRegistry, SilenceIsReportedAndEnds) {
--- a/tests/entry/endpoint_pool_test.cc
+++ b/tests/entry/endpoint_pool_test.cc
@@ -17,7 +17,7 @@
           .address = "10.0.0.1:80",
           .data_centre = DataCentreId(data_centre),
           .slots = 6,
-          .born = Incarnation(1),
+          .incarnation = Incarnation(1),
           .sequence = 1};
 }
 
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -22,7 +22,7 @@
           .data_centre = DataCentreId("here"),
           .role = stage,
           .slots = 6,
-          .born = Incarnation(1),
+          .incarnation = Incarnation(1),
           .sequence = 1};
 }
 
--- a/tests/platform/runner_calls_test.cc
+++ b/tests/platform/runner_calls_test.cc
@@ -38,7 +38,7 @@
   CHECK_TRUE(record->state == EndpointLifecycle::kReady);
   LONGS_EQUAL(16, record->slots);
   LONGS_EQUAL(4, record->sequence);
-  CHECK_EQUAL(1788134613150u, record->born.value());
+  CHECK_EQUAL(1788134613150u, record->incarnation.value());
 }
 
 TEST(RunnerCalls, APlainEndpointHasNoStage) {
@@ -51,7 +51,7 @@
   const auto record =
       Read(Replaced(kBeat, ",\n    \"born\":1788134613150", ""));
   CHECK_TRUE(record.has_value());
-  CHECK_EQUAL(1u, record->born.value());
+  CHECK_EQUAL(1u, record->incarnation.value());
 }
 
 TEST(RunnerCalls, WhatAnotherWriterSendsNamesNoEndpoint) {
