--- a/servers/control/configuration_register.h
+++ b/servers/control/configuration_register.h
@@ -1,5 +1,5 @@
-// The replicated state of the control instances: the configuration with the
-// highest version. A state machine that the replicated log drives.
+// State machine that control instances replicate by Raft. Its state is the
+// serving configuration with the highest version.
 #ifndef SERVERS_CONTROL_CONFIGURATION_REGISTER_H_
 #define SERVERS_CONTROL_CONFIGURATION_REGISTER_H_
 
@@ -10,7 +10,7 @@
 
 namespace cassiausher {
 
-/// An operator's document as it was sent, and the version that it carries.
+/// A configuration document as the operator submitted it, and its version.
 struct VersionedDocument {
   Revision version{0};
   std::string document;
@@ -18,20 +18,20 @@
   bool operator==(const VersionedDocument&) const = default;
 };
 
-/// Byte form for log entries, snapshots and messages.
+/// Serialises a document for log entries, snapshots and messages.
 std::string Encode(const VersionedDocument& document);
-/// False if the bytes are malformed.
+/// Returns false if the bytes are malformed.
 bool Decode(std::string_view bytes, VersionedDocument* document);
 
 /// Invariant: the version never decreases, and the document of a version never
 /// changes.
 class ConfigurationRegister {
  public:
-  /// Takes the document if its version is higher than the one held. Returns
-  /// whether it was taken.
+  /// Replaces the current document if the new version is higher. Returns
+  /// whether it did.
   bool Apply(VersionedDocument document);
 
-  /// Version 0 until the first document.
+  /// Has version 0 until the first document is applied.
   const VersionedDocument& current() const { return current_; }
 
  private:
--- a/servers/control/endpoint_record.cc
+++ b/servers/control/endpoint_record.cc
@@ -4,14 +4,14 @@
 
 namespace cassiausher {
 
-bool Merge(const EndpointRecord& heard, EndpointRecord* known) {
-  if (heard.incarnation < known->incarnation) return false;
+bool Merge(const EndpointRecord& received, EndpointRecord* known) {
+  if (received.incarnation < known->incarnation) return false;
   EndpointRecord merged = *known;
-  if (heard.incarnation > known->incarnation) {
-    merged = heard;
+  if (received.incarnation > known->incarnation) {
+    merged = received;
   } else {
-    if (heard.sequence > known->sequence) merged = heard;
-    merged.state = std::max(heard.state, known->state);
+    if (received.sequence > known->sequence) merged = received;
+    merged.state = std::max(received.state, known->state);
   }
   EndpointRecord same_sequence = merged;
   same_sequence.sequence = known->sequence;
--- a/servers/control/endpoint_record.h
+++ b/servers/control/endpoint_record.h
@@ -1,4 +1,5 @@
-// What an endpoint says of itself, and how two such statements are merged.
+// The state that an endpoint reports in its heartbeats, and how two records of
+// one endpoint are merged.
 #ifndef SERVERS_CONTROL_ENDPOINT_RECORD_H_
 #define SERVERS_CONTROL_ENDPOINT_RECORD_H_
 
@@ -13,9 +14,10 @@
 
 namespace cassiausher {
 
-/// Ordered: an incarnation moves only towards the later states.
+/// Ordered: within an incarnation, the state only moves to later values.
 enum class EndpointLifecycle { kReady, kDraining, kDeparted };
 
+/// One endpoint's latest known state.
 struct EndpointRecord {
   EndpointId id;
   ServiceId service;
@@ -24,26 +26,28 @@
   EndpointRole role = EndpointRole::kPlain;
   EndpointLifecycle state = EndpointLifecycle::kReady;
   int slots = 1;
-  /// Start of this incarnation, in milliseconds since the epoch.
+  /// When this run of the endpoint started, in milliseconds since the epoch.
   Incarnation incarnation{0};
-  /// Number of the heartbeat within the incarnation.
+  /// Number of the heartbeat, counted within the incarnation.
   std::uint64_t sequence = 0;
 
   bool operator==(const EndpointRecord&) const = default;
 };
 
-/// Brings `known` up to `heard`. A later incarnation replaces an earlier one;
-/// within one, the higher sequence number decides the fields and the later
-/// state stays, so that a delayed heartbeat never makes a departing endpoint
-/// ready again. Returns whether anything but the sequence number changed.
-bool Merge(const EndpointRecord& heard, EndpointRecord* known);
+/// Merges `received` into `known`. A later incarnation replaces an earlier one.
+/// Within an incarnation, the record with the higher sequence number supplies
+/// the fields, but the later state is kept, so that a delayed heartbeat never
+/// makes a departing endpoint ready again. Returns whether anything but the
+/// sequence number changed.
+bool Merge(const EndpointRecord& received, EndpointRecord* known);
 
-/// Names for logs.
+/// Names for log lines.
 std::string_view Name(EndpointLifecycle state);
 std::string_view Name(EndpointRole role);
 
 proto::EndpointRecord ToProto(const EndpointRecord& record);
-/// False if the message lacks an id, an address or an incarnation.
+/// Returns false if the message lacks an id or an incarnation, or if its role
+/// or state is unknown.
 bool FromProto(const proto::EndpointRecord& message, EndpointRecord* record);
 
 }  // namespace cassiausher
--- a/servers/control/endpoint_registry.cc
+++ b/servers/control/endpoint_registry.cc
@@ -2,16 +2,16 @@
 
 namespace cassiausher {
 
-bool EndpointRegistry::Update(const EndpointRecord& heard, Time now) {
+bool EndpointRegistry::Update(const EndpointRecord& received, Time now) {
   const auto [found, added] =
-      entries_.try_emplace(heard.id, Entry{.record = heard});
+      entries_.try_emplace(received.id, Entry{.record = received});
   Entry& entry = found->second;
   const EndpointRecord before = entry.record;
-  const bool changed = added || Merge(heard, &entry.record);
-  const bool newer = heard.incarnation > before.incarnation ||
-                     (heard.incarnation == before.incarnation &&
-                      heard.sequence > before.sequence);
-  if (added || newer) entry.heard_at = now;
+  const bool changed = added || Merge(received, &entry.record);
+  const bool newer = received.incarnation > before.incarnation ||
+                     (received.incarnation == before.incarnation &&
+                      received.sequence > before.sequence);
+  if (added || newer) entry.last_seen = now;
   if (changed) entry.changed_at = ++revision_;
   return changed;
 }
@@ -22,14 +22,14 @@
   Entry& entry = found->second;
   if (entry.record.state == EndpointLifecycle::kDeparted) return false;
   entry.record.state = EndpointLifecycle::kDeparted;
-  entry.heard_at = now;
+  entry.last_seen = now;
   entry.changed_at = ++revision_;
   return true;
 }
 
 void EndpointRegistry::Expire(Time now) {
   std::erase_if(entries_, [&](const auto& item) {
-    return now - item.second.heard_at >= options_.forget_after;
+    return now - item.second.last_seen >= options_.expire_after;
   });
 }
 
@@ -54,18 +54,18 @@
 }
 
 std::vector<EndpointRecord> EndpointRegistry::SeenSince(Time since) const {
-  std::vector<EndpointRecord> heard;
+  std::vector<EndpointRecord> seen;
   for (const auto& [id, entry] : entries_) {
-    if (entry.heard_at >= since) heard.push_back(entry.record);
+    if (entry.last_seen >= since) seen.push_back(entry.record);
   }
-  return heard;
+  return seen;
 }
 
 std::vector<EndpointId> EndpointRegistry::Silent(Time now) const {
   std::vector<EndpointId> silent;
   for (const auto& [id, entry] : entries_) {
     if (entry.record.state == EndpointLifecycle::kDeparted) continue;
-    if (now - entry.heard_at >= options_.silent_after) silent.push_back(id);
+    if (now - entry.last_seen >= options_.silent_after) silent.push_back(id);
   }
   return silent;
 }
--- a/servers/control/endpoint_registry.h
+++ b/servers/control/endpoint_registry.h
@@ -1,5 +1,5 @@
-// Endpoints as one control instance knows them: from heartbeats that it
-// received and from what the other control instances tell.
+// One control instance's view of the endpoints, built from heartbeats that it
+// receives and from records that the other control instances send.
 #ifndef SERVERS_CONTROL_ENDPOINT_REGISTRY_H_
 #define SERVERS_CONTROL_ENDPOINT_REGISTRY_H_
 
@@ -16,34 +16,38 @@
 struct EndpointRegistryOptions {
   /// An endpoint without a heartbeat for this long is reported as silent.
   Duration silent_after = Seconds(4);
-  /// A departed or silent endpoint is forgotten after this time; longer than
-  /// any heartbeat can be delayed.
-  Duration forget_after = Seconds(120);
+  /// An endpoint is removed this long after its last heartbeat or its
+  /// departure. Must exceed the longest delay of a heartbeat, which would
+  /// otherwise bring a departed endpoint back.
+  Duration expire_after = Seconds(120);
 };
 
-/// Not thread safe.
+/// Latest known record of each endpoint. Not thread safe.
 class EndpointRegistry {
  public:
   explicit EndpointRegistry(EndpointRegistryOptions options)
       : options_(options) {}
 
-  /// Takes a statement. Returns whether it changed what followers must know.
-  bool Update(const EndpointRecord& heard, Time now);
-  /// The endpoint said that it leaves. Returns whether that was news. An id
-  /// that was never heard of has nothing to leave.
+  /// Merges a record from a heartbeat or from another control instance. Returns
+  /// whether followers must be told of a change.
+  bool Update(const EndpointRecord& received, Time now);
+  /// Marks an endpoint that announced its departure. Returns whether its state
+  /// changed; false for an unknown id.
   bool MarkDeparted(const EndpointId& id, Time now);
-  /// Forgets endpoints that are long gone.
+  /// Removes endpoints whose last heartbeat or departure is `expire_after` ago.
   void Expire(Time now);
 
-  /// Grows with each change that followers must know.
+  /// Increases with each change that followers must be told of.
   std::uint64_t revision() const { return revision_; }
   /// Records that changed after `revision`.
   std::vector<EndpointRecord> ChangedSince(std::uint64_t revision) const;
-  /// Endpoints of a service that take work. Valid until the next change.
+  /// Endpoints of a service in state ready. The pointers are valid until the
+  /// next change of the registry.
   std::vector<const EndpointRecord*> Ready(const ServiceId& service) const;
-  /// Records heard of since `since`, changed or not.
+  /// Records last seen at or after `since`, changed or not.
   std::vector<EndpointRecord> SeenSince(Time since) const;
-  /// Endpoints that are not departed and have been silent.
+  /// Endpoints that have not departed and sent no heartbeat for
+  /// `silent_after`.
   std::vector<EndpointId> Silent(Time now) const;
   const EndpointRecord* Find(const EndpointId& id) const;
   std::size_t size() const { return entries_.size(); }
@@ -51,12 +55,14 @@
  private:
   struct Entry {
     EndpointRecord record;
+    /// Revision of the last change.
     std::uint64_t changed_at = 0;
-    Time heard_at{};
+    /// When the last newer heartbeat or the departure arrived.
+    Time last_seen{};
   };
 
   EndpointRegistryOptions options_;
-  /// Invariant: no entry's `changed_at` is above the revision.
+  /// Invariant: no entry's `changed_at` exceeds the revision.
   std::uint64_t revision_ = 0;
   std::map<EndpointId, Entry> entries_;
 };
--- a/servers/control/serving_configuration.cc
+++ b/servers/control/serving_configuration.cc
@@ -24,7 +24,7 @@
   if (total_weight <= 0) findings->Add(place, "the weights add up to 0");
 }
 
-bool BeginsWith(std::string_view text, std::string_view prefix) {
+bool StartsWith(std::string_view text, std::string_view prefix) {
   return text.substr(0, prefix.size()) == prefix;
 }
 
@@ -32,12 +32,12 @@
 
 Findings Validate(const ServingConfiguration& configuration) {
   Findings findings;
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   for (std::size_t i = 0; i < configuration.routes.size(); ++i) {
     const Route& route = configuration.routes[i];
     const std::string place = "route " + std::to_string(i) + " " + route.name;
     ValidateRoute(route, configuration.services, place, &findings);
-    if (!places.emplace(route.host, route.path_prefix).second) {
+    if (!host_prefixes.emplace(route.host, route.path_prefix).second) {
       findings.Add(place, "another route has the same host and prefix");
     }
   }
@@ -64,7 +64,7 @@
   if (found == by_host_.end()) return nullptr;
   for (const std::size_t index : found->second) {
     const Route& route = configuration_.routes[index];
-    if (BeginsWith(path, route.path_prefix)) return &route;
+    if (StartsWith(path, route.path_prefix)) return &route;
   }
   return nullptr;
 }
@@ -72,13 +72,13 @@
 const RouteTarget& PickTarget(const Route& route, double draw) {
   std::int64_t total_weight = 0;
   for (const RouteTarget& target : route.targets) total_weight += target.weight;
-  double left = draw * static_cast<double>(total_weight);
+  double remaining = draw * static_cast<double>(total_weight);
   const RouteTarget* last_weighted = &route.targets.front();
   for (const RouteTarget& target : route.targets) {
     if (target.weight <= 0) continue;
     last_weighted = &target;
-    left -= static_cast<double>(target.weight);
-    if (left < 0) return target;
+    remaining -= static_cast<double>(target.weight);
+    if (remaining < 0) return target;
   }
   return *last_weighted;
 }
--- a/servers/control/serving_configuration.h
+++ b/servers/control/serving_configuration.h
@@ -1,5 +1,5 @@
-// The configuration that entry instances serve by: routes, services and limits
-// on callers. Decoded from an operator's document by an adapter.
+// The configuration that entry instances apply: routes, services and limits on
+// callers. An adapter decodes it from the operator's document.
 #ifndef SERVERS_CONTROL_SERVING_CONFIGURATION_H_
 #define SERVERS_CONTROL_SERVING_CONFIGURATION_H_
 
@@ -17,47 +17,50 @@
 
 namespace cassiausher {
 
-/// What may be repeated of a request.
+/// How often a request may be executed, which decides whether it is retried.
 enum class RouteKind {
   kIdempotent,     ///< May run more than once.
   kNonIdempotent,  ///< May run once at most.
-  kStream,         ///< A stream of events; runs once unless resumable.
+  kStream,         ///< An event stream; runs once at most unless resumable.
 };
 
-/// One service of a route and its share of the requests.
+/// One service of a route and the weight of its share of the requests.
 struct RouteTarget {
   ServiceId service;
   std::int64_t weight = 1;
 };
 
+/// Maps a host and a path prefix to services.
 struct Route {
   std::string name;
   std::string host;
   /// Begins and ends with a slash.
   std::string path_prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
-  /// Longest time that a caller is kept waiting.
+  /// Longest time that a caller waits.
   Duration timeout = Seconds(10);
-  /// Time to the answer, or to the first event of a stream.
+  /// Target for the time to the response, or to the first event of a stream.
   Duration latency_target = Seconds(1);
-  /// Longest pause between two events of a stream.
+  /// Target for the longest gap between two events of a stream.
   Duration gap_target = Seconds(1);
   /// 0 is the most urgent.
   int priority = 0;
-  /// Endpoints that one request may run on.
+  /// Number of endpoints that one request may be tried on.
   int attempts = 1;
-  /// A broken stream may go on at another runner.
+  /// A broken stream may be resumed on another runner.
   bool resumable = false;
   std::vector<RouteTarget> targets;
 };
 
-/// Engine of a service's runners.
+/// Model engine of a service's runners.
 struct EngineSpec {
   int slots = 1;
+  /// KV cache of one runner.
   Tokens kv_capacity{0};
-  /// Tokens of an answer that come in one event.
+  /// Output tokens in one event of a stream.
   int tokens_per_event = 1;
-  /// Time for which a runner keeps a prompt that was read for another runner.
+  /// How long a prefill runner keeps a prompt's KV cache for a decode runner to
+  /// fetch.
   Duration handle_lifetime = Milliseconds(500);
 };
 
@@ -83,12 +86,12 @@
   CallerLimits limits;
 };
 
-/// Faults that make a configuration unusable: a route to an unknown service,
-/// two routes with one host and prefix, weights that add up to 0, a timeout
-/// of 0.
+/// Reports faults that make a configuration unusable: a route to an unknown
+/// service, two routes with the same host and prefix, a negative weight,
+/// weights whose sum is not positive, a timeout that is not positive.
 Findings Validate(const ServingConfiguration& configuration);
 
-/// Finds the route of a request.
+/// Looks up the route of a request.
 class RouteTable {
  public:
   RouteTable() = default;
@@ -97,26 +100,27 @@
   const ServingConfiguration& configuration() const { return configuration_; }
   Revision version() const { return configuration_.version; }
 
-  /// The route of `host` with the longest prefix that begins `path`; null if
-  /// there is none. The result lives as long as the table.
+  /// Returns the route of `host` with the longest prefix of `path`, or null.
+  /// The result lives as long as the table.
   const Route* Find(std::string_view host, std::string_view path) const;
 
  private:
   ServingConfiguration configuration_;
-  /// Index into the routes by host, longest prefix first.
+  /// Indices of the routes by host, longest prefix first.
   std::map<std::string, std::vector<std::size_t>, std::less<>> by_host_;
 };
 
-/// Chooses a target by weight; `draw` is uniform in [0, 1). Targets of weight
-/// 0 are never chosen.
+/// Chooses a target at random by weight. `draw` is a random number, uniform in
+/// [0, 1). A target of weight 0 is never chosen while another has weight.
 const RouteTarget& PickTarget(const Route& route, double draw);
 
-/// Turns an operator's document into a configuration. Implemented by the
-/// adapter that knows the document's format.
+/// Decodes an operator's document into a configuration. Implemented by the
+/// adapter for the document's format.
 class ConfigurationCodec {
  public:
   virtual ~ConfigurationCodec() = default;
-  /// Null with findings if the document can't be read in full.
+  /// Returns nullopt and adds findings if any part of the document can't be
+  /// decoded.
   virtual std::optional<ServingConfiguration> Decode(
       std::string_view document, Findings* findings) const = 0;
 };
--- a/servers/control/stage_balancer.h
+++ b/servers/control/stage_balancer.h
@@ -1,5 +1,6 @@
-// Decides when a model runner changes between reading prompts and writing
-// answers, so that neither stage runs out while the other has room.
+// Decides when a model runner switches between prefill (processing prompts) and
+// decode (generating output), so that neither stage is overloaded while the
+// other has capacity to spare.
 #ifndef SERVERS_CONTROL_STAGE_BALANCER_H_
 #define SERVERS_CONTROL_STAGE_BALANCER_H_
 
@@ -15,46 +16,47 @@
 namespace cassiausher {
 
 struct StageBalancerOptions {
-  /// Load of the busier stage below which nothing changes. Prompts wait for
-  /// long well before their runners work all the time.
-  double least_decode_overload = 0.8;
-  double least_prefill_overload = 0.7;
-  /// Load that a stage may have after it gave a runner. Less for prefill, where
-  /// the loss of one runner or a burst would make all streams late.
-  double most_decode_after = 0.8;
-  double most_prefill_after = 0.55;
-  /// The busier stage's load must fall at least to this share of itself.
-  double benefit = 0.86;
-  /// How long the imbalance must last. Shorter for a lack of prefill runners,
-  /// which makes every stream late.
-  Duration hold = Seconds(4);
+  /// Load from which a stage counts as overloaded. Lower for prefill, since
+  /// prompts queue for long well before their runners are fully utilised.
+  double decode_overload_threshold = 0.8;
+  double prefill_overload_threshold = 0.7;
+  /// Load that a stage may have at most after it gives up a runner. Lower for
+  /// prefill, where the loss of one runner or a burst would delay all streams.
+  double max_decode_load_after = 0.8;
+  double max_prefill_load_after = 0.55;
+  /// The higher of both loads after the switch, as a share of the overloaded
+  /// stage's load before it, must not exceed this.
+  double max_load_ratio = 0.86;
+  /// How long an overload must last before a runner is switched. Shorter for
+  /// prefill, whose overload delays every stream.
+  Duration decode_hold = Seconds(4);
   Duration prefill_hold = Seconds(2);
-  /// Time constant of the smoothed loads.
-  Duration smoothing = Seconds(4);
-  /// From one order of a service to the next; longer than a change takes.
-  Duration pause = Seconds(9);
-  /// From one order of a runner to the next.
-  Duration runner_pause = Seconds(30);
-  /// Runners of each stage that always remain, where there are that many.
-  int least_runners = 2;
-  /// Share of a decode runner's memory that placement uses.
-  double usable_memory = 0.8;
-  /// Prefill runners that can be spared go to decode before there is an
-  /// overload, since a change takes longer than a burst. These many always
-  /// remain, and this share of all runners, so that the loss of one is borne.
-  int safe_prefill_runners = 3;
-  double safe_prefill_share = 0.25;
-  /// A prefill runner can be spared while the load of those that remain stays
-  /// below this.
-  double most_spare_load = 0.4;
-  /// Decode load from which a spared runner is of use.
-  double least_decode_load = 0.35;
-  /// Without any load, prefill runners beyond this share of all can be spared:
-  /// an answer takes longer to write than its prompt to read.
+  /// Time constant of the exponential smoothing of the loads.
+  Duration smoothing_time = Seconds(4);
+  /// Minimum time between two orders of a service; longer than a switch takes.
+  Duration service_cooldown = Seconds(9);
+  /// Minimum time between two orders to the same runner.
+  Duration runner_cooldown = Seconds(30);
+  /// Each stage keeps at least this number of runners, if it has them.
+  int min_runners_per_stage = 2;
+  /// Share of a decode runner's memory that request placement uses.
+  double usable_memory_share = 0.8;
+  /// Spare prefill runners switch to decode before there is an overload, since
+  /// a switch takes longer than a burst. At least this number and this share of
+  /// all runners stay in prefill, so that the stage survives the loss of one.
+  int min_prefill_runners = 3;
+  double min_prefill_share = 0.25;
+  /// A prefill runner is spare if the load of the remaining ones would not
+  /// exceed this.
+  double max_prefill_load_without_spare = 0.4;
+  /// Decode load from which another decode runner is useful.
+  double min_decode_load_for_spare = 0.35;
+  /// In an idle service, prefill runners beyond this share of all are spare,
+  /// since generating a response takes longer than processing its prompt.
   double idle_prefill_share = 1.0 / 3;
-  /// Load below which a service counts as idle.
+  /// A service is idle while the loads of both stages are below this.
   double idle_load = 0.02;
-  /// How long a prefill runner must be spare.
+  /// How long a prefill runner must be spare before it is switched.
   Duration spare_hold = Seconds(2);
 };
 
@@ -63,32 +65,36 @@
   EndpointId id;
   EndpointRole role = EndpointRole::kDecode;
   int requests = 0;
+  /// Peak of the KV cache use that is forecast for its requests.
   Tokens kv_tokens{0};
 };
 
+/// Tells a runner to switch to a role.
 struct StageOrder {
   EndpointId endpoint;
   EndpointRole role = EndpointRole::kDecode;
 };
 
-/// For the runners of one service. Not thread safe.
+/// Balances the runners of one service. Not thread safe.
 class StageBalancer {
  public:
   explicit StageBalancer(StageBalancerOptions options) : options_(options) {}
 
-  /// Call about each second with all usable runners of the service. Returns an
-  /// order to send now; OnOrderSent() must follow if it was sent.
+  /// Call about once a second with all usable runners of the service. Returns
+  /// an order to send now, if any. The caller must report a sent order to
+  /// OnOrderSent().
   std::optional<StageOrder> Step(const std::vector<RunnerLoad>& runners,
                                  Tokens kv_capacity, Time now);
   void OnOrderSent(const StageOrder& order, Time now);
-  /// The order didn't reach its runner; another one may be asked.
+  /// The order didn't reach its runner. Another runner of the service may be
+  /// ordered without waiting for `service_cooldown`.
   void OnOrderUndelivered(const StageOrder& order);
 
  private:
   struct Loads {
     double prefill = 0;
     double decode = 0;
-    double busier() const { return prefill > decode ? prefill : decode; }
+    double highest() const { return prefill > decode ? prefill : decode; }
   };
 
   struct Counts {
@@ -96,35 +102,41 @@
     int decode = 0;
   };
 
+  /// Requests on prefill runners, and KV cache use of decode runners.
   struct Work {
     double prompts = 0;
     double kv_tokens = 0;
   };
 
+  /// Adds a sample to the exponentially smoothed work.
   void Smooth(const Work& sample, Time now);
-  Duration Hold(const Counts& counts, EndpointRole short_role) const;
-  /// Whether moving a runner to `to` would ease a lasting overload.
-  bool Relieves(const Counts& counts, EndpointRole to) const;
-  bool HasSparePrefill(const Counts& counts) const;
-  /// Role that should get a runner if that lasts.
-  std::optional<EndpointRole> ShortRole(const Counts& counts) const;
-  std::optional<StageOrder> Choose(const std::vector<RunnerLoad>& runners,
-                                   EndpointRole from, Time now) const;
+  /// How long the need must last before a runner is switched.
+  Duration Hold(const Counts& counts, EndpointRole needed_role) const;
+  /// Whether stage `to` is overloaded and one more runner would relieve it
+  /// without overloading the other stage.
+  bool RelievesOverload(const Counts& counts, EndpointRole to) const;
+  /// Whether a prefill runner can switch to decode ahead of an overload.
+  bool HasSparePrefillRunner(const Counts& counts) const;
+  /// Role that should get a runner once the need has lasted for Hold().
+  std::optional<EndpointRole> NeededRole(const Counts& counts) const;
+  /// Orders the least loaded runner of role `from` that isn't in cooldown.
+  std::optional<StageOrder> ChooseRunner(const std::vector<RunnerLoad>& runners,
+                                         EndpointRole from, Time now) const;
 
   StageBalancerOptions options_;
-  /// Share of the time that prefill runners work, and share of the decode
-  /// runners' memory in use.
+  /// Share of the time that prefill runners are busy, and share of the decode
+  /// runners' usable memory that is in use.
   Loads loads_;
-  /// Smoothed work of each stage, from which the loads follow as soon as its
-  /// runners change.
+  /// Smoothed work of each stage. The loads are derived from it, so that they
+  /// reflect a changed number of runners at once.
   Work work_;
-  /// Weight of the samples in `work_`; near 1 once they cover the time
-  /// constant.
-  double weight_ = 0;
+  /// Sum of the weights of the samples in `work_`. Approaches 1 as they come to
+  /// cover several time constants.
+  double total_weight_ = 0;
   std::optional<Time> sampled_at_;
-  /// Role that is short of runners, and since when.
-  std::optional<EndpointRole> short_role_;
-  Time short_since_{};
+  /// Role that needs a runner, and since when.
+  std::optional<EndpointRole> needed_role_;
+  Time needed_since_{};
   std::optional<Time> ordered_at_;
   std::map<EndpointId, Time> runner_ordered_at_;
 };
--- a/servers/control/voter_planner.cc
+++ b/servers/control/voter_planner.cc
@@ -6,16 +6,17 @@
 namespace cassiausher {
 namespace {
 
-// Spares that were heard of lately, one for each instance.
-std::set<ReplicaId> FreshSpares(const VoterPlannerOptions& options,
-                                const VoterView& view) {
+// Replicas without a configuration that were seen recently, one per instance.
+std::set<ReplicaId> AvailableSpares(const VoterPlannerOptions& options,
+                                    const VoterView& view) {
   std::set<ReplicaId> spares;
   for (const auto& [replica, age] : view.unconfigured) {
-    if (age < options.spare_lifetime) spares.insert(replica);
+    if (age < options.spare_expiry) spares.insert(replica);
   }
   return spares;
 }
 
+// The voter that has been silent for longest, if for at least `replace_after`.
 std::optional<ReplicaId> LostVoter(const VoterPlannerOptions& options,
                                    const VoterView& view) {
   std::optional<ReplicaId> lost;
@@ -28,8 +29,10 @@
   return lost;
 }
 
-// A wiped instance takes its own place first, so that the others stay spares.
-ReplicaId BestSpare(const std::set<ReplicaId>& spares, const ReplicaId& lost) {
+// Prefers the lost voter's own instance, which comes back after the loss of its
+// disk, so that the other spares remain available.
+ReplicaId ChooseSpare(const std::set<ReplicaId>& spares,
+                      const ReplicaId& lost) {
   for (const ReplicaId& spare : spares) {
     if (spare.instance == lost.instance) return spare;
   }
@@ -51,11 +54,11 @@
 VoterStep PlanVoters(const VoterPlannerOptions& options,
                      const VoterView& view) {
   if (view.configuration.replacement.has_value()) return NoStep{};
-  const std::set<ReplicaId> spares = FreshSpares(options, view);
+  const std::set<ReplicaId> spares = AvailableSpares(options, view);
   const std::optional<ReplicaId> lost = LostVoter(options, view);
   if (lost.has_value()) {
     if (spares.empty()) return NoStep{};
-    return ReplaceStep{*lost, BestSpare(spares, *lost)};
+    return ReplaceStep{*lost, ChooseSpare(spares, *lost)};
   }
   if (const auto learner = LostLearner(options, view)) {
     return RemoveLearnerStep{*learner};
@@ -63,13 +66,13 @@
   const auto& learners = view.configuration.learners;
   const auto voters = static_cast<int>(view.configuration.voters.size());
   const bool even = voters % 2 == 0;
-  const bool room = voters + (even ? 1 : 2) <= options.most_voters;
-  const std::size_t wanted = even ? 1 : 2;
-  if (!room) return NoStep{};
-  if (learners.size() >= wanted || (even && !learners.empty())) {
+  const bool can_grow = voters + (even ? 1 : 2) <= options.max_voters;
+  const std::size_t needed = even ? 1 : 2;
+  if (!can_grow) return NoStep{};
+  if (learners.size() >= needed || (even && !learners.empty())) {
     return PromoteStep{*learners.begin()};
   }
-  if (learners.size() + spares.size() < wanted) return NoStep{};
+  if (learners.size() + spares.size() < needed) return NoStep{};
   return AddLearnerStep{*spares.begin()};
 }
 
--- a/servers/control/voter_planner.h
+++ b/servers/control/voter_planner.h
@@ -1,5 +1,5 @@
-// Decides how the group of voters grows to its size and replaces a voter that
-// is gone by an instance that has no configuration yet.
+// Plans membership changes of the Raft group: growth to its target size, and
+// the replacement of a lost voter by an instance that has no configuration yet.
 #ifndef SERVERS_CONTROL_VOTER_PLANNER_H_
 #define SERVERS_CONTROL_VOTER_PLANNER_H_
 
@@ -12,21 +12,22 @@
 namespace cassiausher {
 
 struct VoterPlannerOptions {
-  /// More voters make each commit wait for more disks.
-  int most_voters = 7;
-  /// A voter silent for this long is replaced if a spare is there. Short,
-  /// because the group can lose no other voter until then.
+  /// Each further pair of voters makes every commit wait for one more disk.
+  int max_voters = 7;
+  /// A voter that hasn't answered for this long is replaced if a spare instance
+  /// is available. Short, because a group of three tolerates the loss of no
+  /// other voter until then.
   Duration replace_after = Seconds(2);
-  /// A spare counts while it was heard of within this time.
-  Duration spare_lifetime = Seconds(2);
+  /// A spare is available while it was last seen less than this ago.
+  Duration spare_expiry = Seconds(2);
 };
 
-/// Members and what the leader heard of them.
+/// The group's members and when the leader last had contact with them.
 struct VoterView {
   RaftConfiguration configuration;
-  /// Time since the last answer, for every other member.
+  /// Time since the last response of every other member.
   std::map<ReplicaId, Duration> silence;
-  /// Replicas without a configuration, and the time since they were heard of.
+  /// Replicas without a configuration, and the time since each was last seen.
   std::map<ReplicaId, Duration> unconfigured;
 };
 
@@ -47,9 +48,10 @@
 using VoterStep = std::variant<NoStep, AddLearnerStep, PromoteStep, ReplaceStep,
                                RemoveLearnerStep>;
 
-/// The next change of members, to be proposed by the leader while no earlier
-/// one is pending. Growth goes by two voters at a time, so that the number
-/// stays odd: an even number bears no more losses.
+/// Returns the next membership change, which the leader proposes while no
+/// earlier one is pending. The group grows by two voters at a time to keep
+/// their number odd: an even number tolerates no more failures than the odd
+/// number below it.
 VoterStep PlanVoters(const VoterPlannerOptions& options, const VoterView& view);
 
 }  // namespace cassiausher
--- a/tests/control/stage_balancer_test.cc
+++ b/tests/control/stage_balancer_test.cc
@@ -162,7 +162,8 @@
   }
   CHECK_TRUE(orders.size() >= 2);
   for (std::size_t i = 1; i < orders.size(); ++i) {
-    CHECK_TRUE(orders[i] - orders[i - 1] >= StageBalancerOptions{}.pause);
+    CHECK_TRUE(orders[i] - orders[i - 1] >=
+               StageBalancerOptions{}.service_cooldown);
   }
 }
 
--- a/tests/control/voter_planner_test.cc
+++ b/tests/control/voter_planner_test.cc
@@ -86,7 +86,7 @@
 }
 
 TEST(VoterPlanner, DoesNotGrowBeyondItsBound) {
-  options.most_voters = 3;
+  options.max_voters = 3;
   VoterView view = Three();
   view.unconfigured[Replica("d")] = Milliseconds(100);
   view.unconfigured[Replica("e")] = Milliseconds(100);
