--- a/modules/policy_greedy/greedy_policy.cc
+++ b/modules/policy_greedy/greedy_policy.cc
@@ -69,11 +69,12 @@
 }
 
 bool GreedyPolicy::TryStart(Request& request, Time now) {
-  std::shared_ptr<PoolEndpoint> decode = First(decodes(), request, now);
+  std::shared_ptr<PoolEndpoint> decode =
+      FirstAvailable(decodes(), request, now);
   if (!decode || FreeNow(*decode) <= 0) return false;
   std::shared_ptr<PoolEndpoint> prefill;
   if (NeedsPrefillEngine(request)) {
-    prefill = First(prefills(), request, now);
+    prefill = FirstAvailable(prefills(), request, now);
     if (!prefill || prefill->queued_prompt_tokens > Tokens(0)) return false;
   }
   Start(request, std::move(prefill), std::move(decode), request.prompt(), now);
--- a/modules/policy_least_loaded/least_loaded_policy.cc
+++ b/modules/policy_least_loaded/least_loaded_policy.cc
@@ -18,8 +18,9 @@
   const auto slots = static_cast<std::size_t>(available_slots());
   std::shared_ptr<PoolEndpoint> prefill;
   const bool needs_prefill = NeedsPrefillEngine(request);
-  if (needs_prefill) prefill = First(prefills(), request, now);
-  std::shared_ptr<PoolEndpoint> decode = First(decodes(), request, now);
+  if (needs_prefill) prefill = FirstAvailable(prefills(), request, now);
+  std::shared_ptr<PoolEndpoint> decode =
+      FirstAvailable(decodes(), request, now);
   const bool none = !decode || (needs_prefill && !prefill);
   if (none || request_count() > slots * kRequestsPerSlot) {
     Refuse(request, RefusalReason::kOverloaded, kRetryAfter, now);
--- a/modules/policy_reserving/reserving_policy.cc
+++ b/modules/policy_reserving/reserving_policy.cc
@@ -85,8 +85,9 @@
     Refuse(request, RefusalReason::kRetriesSpent, RetryAfter(), now);
     return;
   }
-  request.due = DueOf(request, now);
-  request.admit_by = request.due - IdleTime(request) - Margin(request);
+  request.effective_deadline = DueOf(request, now);
+  request.admit_by =
+      request.effective_deadline - IdleTime(request) - Margin(request);
   if (request.admit_by < now) {
     Refuse(request, RefusalReason::kOverloaded, RetryAfter(), now);
     return;
@@ -268,7 +269,7 @@
     if (plan.first_token == Time::max()) return Outcome::kHopeless;
   }
   plan.first_token += FromSeconds(step_seconds_);
-  if (plan.first_token + Margin(request) > request.due)
+  if (plan.first_token + Margin(request) > request.effective_deadline)
     return Outcome::kHopeless;
 
   CheckInvariant(plan.decode->held < plan.decode->info.slots,
@@ -306,7 +307,7 @@
                         !engine->on_trial() && !Avoids(request, *engine);
     if (usable) consider(engine, match.tokens);
   }
-  const auto least = First(prefills(), request, now);
+  const auto least = FirstAvailable(prefills(), request, now);
   if (least) consider(least, Tokens(0));
   return plan.prefill != nullptr;
 }
--- a/modules/policy_round_robin/round_robin_policy.cc
+++ b/modules/policy_round_robin/round_robin_policy.cc
@@ -29,7 +29,8 @@
 }
 
 std::shared_ptr<PoolEndpoint> RoundRobinPolicy::Next(
-    const Index& index, const Request& request, std::uint64_t& last) const {
+    const EndpointIndex& index, const Request& request,
+    std::uint64_t& last) const {
   auto place = index.upper_bound({0, last});
   for (std::size_t tried = 0; tried < index.size(); ++tried) {
     if (place == index.end()) place = index.begin();
--- a/modules/policy_round_robin/round_robin_policy.h
+++ b/modules/policy_round_robin/round_robin_policy.h
@@ -20,7 +20,8 @@
 
  private:
   /// The endpoint after `last`, in order of first sight.
-  std::shared_ptr<PoolEndpoint> Next(const Index& index, const Request& request,
+  std::shared_ptr<PoolEndpoint> Next(const EndpointIndex& index,
+                                     const Request& request,
                                      std::uint64_t& last) const;
 
   std::uint64_t last_prefill_ = 0;
--- a/servers/routing/account_limits.cc
+++ b/servers/routing/account_limits.cc
@@ -56,21 +56,22 @@
          (weight + std::max(0.0, others));
 }
 
-AccountLimits::Usage* AccountLimits::Find(const AccountId& account, Time now) {
+AccountLimits::Usage* AccountLimits::FindOrAddUsage(const AccountId& account,
+                                                    Time now) {
   const auto found = usage_.find(account);
   if (found != usage_.end()) return &found->second;
-  if (usage_.size() >= options_.accounts_maximum) Forget(now);
-  if (usage_.size() >= options_.accounts_maximum) return nullptr;
+  if (usage_.size() >= options_.max_accounts) RemoveIdleAccounts(now);
+  if (usage_.size() >= options_.max_accounts) return nullptr;
   Usage& usage = usage_[account];
   usage.tokens = BurstShare(LimitOf(account));
-  usage.refilled = now;
+  usage.refilled_at = now;
   return &usage;
 }
 
-void AccountLimits::Forget(Time now) {
+void AccountLimits::RemoveIdleAccounts(Time now) {
   std::erase_if(usage_, [&](const auto& entry) {
     return entry.second.in_progress == 0 &&
-           now - entry.second.refilled >= options_.forget_after;
+           now - entry.second.refilled_at >= options_.idle_expiry;
   });
 }
 
@@ -78,20 +79,20 @@
   if (in_progress_ >= options_.instance_concurrency) {
     return {LimitVerdict::kInstanceFull, options_.concurrency_retry_after};
   }
-  Usage* usage = Find(account, now);
+  Usage* usage = FindOrAddUsage(account, now);
   if (usage == nullptr) {
     return {LimitVerdict::kInstanceFull, options_.concurrency_retry_after};
   }
   const AccountLimit& limit = LimitOf(account);
   const double rate = RateShare(limit);
-  const double elapsed = std::max(0.0, ToSeconds(now - usage->refilled));
+  const double elapsed = std::max(0.0, ToSeconds(now - usage->refilled_at));
   usage->tokens = std::min(BurstShare(limit), usage->tokens + elapsed * rate);
-  usage->refilled = std::max(usage->refilled, now);
+  usage->refilled_at = std::max(usage->refilled_at, now);
   if (usage->in_progress >= ConcurrencyShare(limit)) {
     return {LimitVerdict::kConcurrency, options_.concurrency_retry_after};
   }
-  const bool crowded =
-      in_progress_ >= options_.fair_share_from * options_.instance_concurrency;
+  const bool crowded = in_progress_ >= options_.fair_share_threshold *
+                                           options_.instance_concurrency;
   if (crowded && usage->in_progress + 1 > std::max(1.0, FairShare(account))) {
     return {LimitVerdict::kFairShare, options_.concurrency_retry_after};
   }
--- a/servers/routing/account_limits.h
+++ b/servers/routing/account_limits.h
@@ -1,6 +1,6 @@
-// Rate, concurrency and fair share of client accounts at one entry instance.
-// An account's limit holds for the deployment; each instance enforces its
-// share, the limit divided by the number of live instances.
+// Limits the rate, concurrency and fair share of client accounts at one entry
+// instance. A configured limit applies to the whole deployment; each instance
+// enforces the limit divided by the number of live instances.
 #ifndef SERVERS_ROUTING_ACCOUNT_LIMITS_H_
 #define SERVERS_ROUTING_ACCOUNT_LIMITS_H_
 
@@ -12,29 +12,34 @@
 
 namespace cassiausher {
 
-/// Limits of one account over the whole deployment.
+/// Limits of one account across the whole deployment.
 struct AccountLimit {
   double requests_per_second = 100;
-  /// Requests that may come at once after a pause.
+  /// Token bucket size: requests accepted at once after an idle period.
   double burst = 200;
   int concurrency = 1000;
-  /// Part of a full instance, relative to the other accounts in use.
+  /// Weight in the fair share of an instance near its capacity, relative to
+  /// the other accounts with requests in progress.
   double weight = 1;
 };
 
 struct AccountLimitsOptions {
-  /// For accounts without a limit of their own.
+  /// Applies to accounts without a configured limit.
   AccountLimit default_limit;
-  /// Requests in progress that this instance takes.
+  /// Maximum number of requests in progress on this instance.
   int instance_concurrency = 10000;
-  /// From this share of instance_concurrency on, no account may hold more
-  /// than its fair share.
-  double fair_share_from = 0.8;
-  /// Answered with a refusal that only a release can lift.
+  /// Fraction of instance_concurrency in use from which on no account may
+  /// exceed its fair share.
+  double fair_share_threshold = 0.8;
+  /// Retry delay returned when only the release of another request can make
+  /// room.
   Duration concurrency_retry_after = Milliseconds(500);
-  /// Idle accounts are forgotten after this time; their bucket is full then.
-  Duration forget_after = Seconds(300);
-  std::size_t accounts_maximum = 10000;
+  /// Idle accounts are removed after this time, when their token bucket has
+  /// refilled.
+  Duration idle_expiry = Seconds(300);
+  /// Accounts tracked at once. When none of them is idle for idle_expiry,
+  /// requests of other accounts are refused with kInstanceFull.
+  std::size_t max_accounts = 10000;
 };
 
 enum class LimitVerdict {
@@ -50,17 +55,17 @@
   Duration retry_after{0};
 };
 
-/// Not thread safe. An admitted request must be released exactly once.
+/// Not thread-safe. Each admitted request must be released exactly once.
 class AccountLimits {
  public:
   explicit AccountLimits(AccountLimitsOptions options) : options_(options) {}
 
   void Configure(std::map<AccountId, AccountLimit> limits);
-  /// Live instances that share the limits; less than 1 counts as 1.
+  /// Sets the number of live instances that share the limits, at least 1.
   void SetInstances(int instances);
 
   LimitDecision Acquire(const AccountId& account, Time now);
-  /// Returns false if the account has nothing in progress.
+  /// Returns false if the account has no request in progress.
   bool Release(const AccountId& account, Time now);
 
   int InProgress(const AccountId& account) const;
@@ -69,19 +74,21 @@
  private:
   struct Usage {
     double tokens = 0;
-    Time refilled{};
+    Time refilled_at{};
     int in_progress = 0;
   };
 
   const AccountLimit& LimitOf(const AccountId& account) const;
-  /// This instance's share; at least one request, so an account with a limit
-  /// below the number of instances can exceed it by that number at most.
+  /// This instance's share of the concurrency limit, rounded up to at least
+  /// one request. All instances together can therefore exceed the limit, by
+  /// at most the number of instances.
   int ConcurrencyShare(const AccountLimit& limit) const;
   double RateShare(const AccountLimit& limit) const;
   double BurstShare(const AccountLimit& limit) const;
   double FairShare(const AccountId& account) const;
-  Usage* Find(const AccountId& account, Time now);
-  void Forget(Time now);
+  /// Returns null when max_accounts is reached.
+  Usage* FindOrAddUsage(const AccountId& account, Time now);
+  void RemoveIdleAccounts(Time now);
 
   AccountLimitsOptions options_;
   std::map<AccountId, AccountLimit> limits_;
--- a/servers/routing/circuit_breaker.cc
+++ b/servers/routing/circuit_breaker.cc
@@ -17,14 +17,14 @@
   if (state_ == CircuitState::kOpen) {
     if (now < open_until_) return false;
     state_ = CircuitState::kHalfOpen;
-    trials_passed_ = 0;
-    trial_running_ = false;
+    successful_trials_ = 0;
+    trial_in_progress_ = false;
   }
-  if (trial_running_) {
+  if (trial_in_progress_) {
     if (now - trial_started_ >= options_.trial_timeout) Open(now);
     return false;
   }
-  trial_running_ = true;
+  trial_in_progress_ = true;
   trial_started_ = now;
   return true;
 }
@@ -33,12 +33,12 @@
   // Late results of calls from before it opened say nothing new.
   if (state_ == CircuitState::kOpen) return;
   if (state_ == CircuitState::kHalfOpen) {
-    if (!trial_running_) return;
-    trial_running_ = false;
-    if (++trials_passed_ >= options_.trials) Close(now);
+    if (!trial_in_progress_) return;
+    trial_in_progress_ = false;
+    if (++successful_trials_ >= options_.trials) Close(now);
     return;
   }
-  consecutive_ = 0;
+  consecutive_failures_ = 0;
   if (now - window_start_ >= options_.window) {
     window_start_ = now;
     window_calls_ = window_failures_ = 0;
@@ -53,31 +53,32 @@
     window_start_ = now;
     window_calls_ = window_failures_ = 0;
   }
-  ++consecutive_;
+  ++consecutive_failures_;
   ++window_calls_;
   ++window_failures_;
   const bool many = window_calls_ >= options_.window_calls &&
                     window_failures_ >= options_.failure_ratio * window_calls_;
-  if (many || consecutive_ >= options_.consecutive_failures) Open(now);
+  if (many || consecutive_failures_ >= options_.consecutive_failures) Open(now);
 }
 
 void CircuitBreaker::Open(Time now) {
   Duration pause = options_.backoff_minimum;
-  for (int i = 0; i < reopened_ && pause < options_.backoff_maximum; ++i) {
+  for (int i = 0; i < opens_since_closed_ && pause < options_.backoff_maximum;
+       ++i) {
     pause *= 2;
   }
   pause = std::min(pause, options_.backoff_maximum);
   const double factor = 1 + options_.jitter * (2 * random_.Unit() - 1);
-  ++reopened_;
+  ++opens_since_closed_;
   state_ = CircuitState::kOpen;
-  trial_running_ = false;
+  trial_in_progress_ = false;
   open_until_ = now + FromSeconds(ToSeconds(pause) * factor);
 }
 
 void CircuitBreaker::Close(Time now) {
   state_ = CircuitState::kClosed;
-  reopened_ = 0;
-  consecutive_ = 0;
+  opens_since_closed_ = 0;
+  consecutive_failures_ = 0;
   window_start_ = now;
   window_calls_ = window_failures_ = 0;
 }
--- a/servers/routing/circuit_breaker.h
+++ b/servers/routing/circuit_breaker.h
@@ -1,5 +1,5 @@
-// Stops calls to an endpoint that fails, and lets single calls through after
-// a growing, jittered pause to find out whether it works again.
+// Circuit breaker: stops calls to a failing endpoint and, after a jittered
+// exponential backoff, lets single trial calls through to detect its recovery.
 #ifndef SERVERS_ROUTING_CIRCUIT_BREAKER_H_
 #define SERVERS_ROUTING_CIRCUIT_BREAKER_H_
 
@@ -11,42 +11,42 @@
 namespace cassiausher {
 
 struct CircuitBreakerOptions {
-  /// Opens after this many failures in a row.
+  /// Consecutive failures that open the breaker.
   int consecutive_failures = 5;
-  /// Opens also when this share of at least `window_calls` calls within
-  /// `window` failed.
+  /// The breaker also opens when at least `window_calls` calls completed
+  /// within `window` and this fraction of them failed.
   double failure_ratio = 0.5;
   int window_calls = 20;
   Duration window = Seconds(10);
-  /// First pause; doubles with each failed trial up to the maximum.
+  /// Initial backoff; doubles with each failed trial up to backoff_maximum.
   Duration backoff_minimum = Milliseconds(500);
   Duration backoff_maximum = Seconds(30);
-  /// The pause is drawn from 1 - jitter to 1 + jitter times its length, so
-  /// that instances don't try an endpoint at the same moment.
+  /// The backoff is multiplied by a random factor between 1 - jitter and
+  /// 1 + jitter, so that instances don't try an endpoint at the same moment.
   double jitter = 0.3;
-  /// Successful trials that close it.
+  /// Successful trial calls that close the breaker.
   int trials = 2;
-  /// A trial without a result counts as failed after this time.
+  /// A trial call without a result counts as failed after this time.
   Duration trial_timeout = Seconds(5);
   std::uint64_t random_seed = 1;
 };
 
 enum class CircuitState { kClosed, kOpen, kHalfOpen };
 
-/// Not thread safe.
+/// Not thread-safe.
 class CircuitBreaker {
  public:
   explicit CircuitBreaker(CircuitBreakerOptions options)
       : options_(options), random_(options.random_seed) {}
 
-  /// Whether a call may start now. In the half-open state one call at a time
-  /// may; report its result.
+  /// Returns whether a call may start now. While half-open, only one call may
+  /// run at a time, and its result must be reported.
   bool Allow(Time now);
   void OnSuccess(Time now);
   void OnFailure(Time now);
 
   CircuitState state(Time now) const;
-  /// When a refused call may be tried again.
+  /// The earliest time at which a rejected call may be retried.
   Time retry_at() const { return open_until_; }
 
  private:
@@ -56,15 +56,15 @@
   CircuitBreakerOptions options_;
   Random random_;
   CircuitState state_ = CircuitState::kClosed;
-  int consecutive_ = 0;
+  int consecutive_failures_ = 0;
   Time window_start_{};
   int window_calls_ = 0;
   int window_failures_ = 0;
-  int reopened_ = 0;
+  int opens_since_closed_ = 0;
   Time open_until_{};
-  bool trial_running_ = false;
+  bool trial_in_progress_ = false;
   Time trial_started_{};
-  int trials_passed_ = 0;
+  int successful_trials_ = 0;
 };
 
 }  // namespace cassiausher
--- a/servers/routing/policy_base.cc
+++ b/servers/routing/policy_base.cc
@@ -47,41 +47,41 @@
   }
   const bool foreign = endpoint.service != service_;
   if (foreign || endpoint.id.empty()) {
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     return;
   }
   EndpointInfo info = endpoint;
-  if (info.slots < 0 || info.slots > kMaxSlots) ++counters_.absurd;
+  if (info.slots < 0 || info.slots > kMaxSlots) ++counters_.out_of_range;
   info.slots = std::clamp(info.slots, 0, kMaxSlots);
   if (info.role == EndpointRole::kPrefill) has_prefill_engines_ = true;
-  const bool given_up = now - prefill_seen_ > kPrefillAbsence;
+  const bool given_up = now - last_prefill_removed_at_ > kPrefillAbsence;
   if (prefill_count_ == 0 && given_up && info.role != EndpointRole::kPrefill)
     has_prefill_engines_ = false;
 
   std::shared_ptr<PoolEndpoint> known = Find(info.id);
   if (known && info.incarnation < known->info.incarnation) {
-    ++counters_.backward;
+    ++counters_.stale;
     return;
   }
   const bool restarted = known && info.incarnation > known->info.incarnation;
   const bool other_role = known && info.role != known->info.role;
   if (restarted || other_role) {
     // A restarted engine holds none of the sessions placed on it before.
-    Drop(known, now);
+    EraseEndpoint(known, now);
     known = nullptr;
   }
   if (known) {
     const int free_before = known->free_slots();
     const bool unchanged = known->info == info;
     known->info = info;
-    known->UpdateForeign(now);
+    known->UpdateUntrackedSlots(now);
     Reindex(*known, now);
-    if (!unchanged) UpdateLongestPrompt();
+    if (!unchanged) UpdateMaxPrompt();
     if (!unchanged || known->free_slots() > free_before) OnCapacity(now);
     return;
   }
   if (endpoints_.size() >= kMaxEndpoints) {
-    ++counters_.absurd;
+    ++counters_.out_of_range;
     return;
   }
   auto added = std::make_shared<PoolEndpoint>(info, next_ordinal_++);
@@ -89,13 +89,13 @@
   if (info.role == EndpointRole::kPrefill) ++prefill_count_;
   by_ordinal_[added->ordinal] = added;
   // Requests adopted before this endpoint announced itself to the new owner.
-  for (auto& [id, request] : requests_) Attach(request, added, now);
+  for (auto& [id, request] : requests_) ResolvePlacement(request, added, now);
   Reindex(*added, now);
-  UpdateLongestPrompt();
+  UpdateMaxPrompt();
   OnCapacity(now);
 }
 
-void PolicyBase::UpdateLongestPrompt() {
+void PolicyBase::UpdateMaxPrompt() {
   max_prompt_ = Tokens(0);
   for (const auto& [id, endpoint] : endpoints_) {
     if (!endpoint->IsDecode()) continue;
@@ -110,18 +110,19 @@
   if (max_prompt_ == Tokens(0)) max_prompt_ = kMaxPrompt;
 }
 
-void PolicyBase::Drop(const std::shared_ptr<PoolEndpoint>& endpoint, Time now) {
+void PolicyBase::EraseEndpoint(const std::shared_ptr<PoolEndpoint>& endpoint,
+                               Time now) {
   endpoint->removed = true;
   if (endpoint->info.role == EndpointRole::kPrefill) {
     --prefill_count_;
-    prefill_seen_ = now;
+    last_prefill_removed_at_ = now;
   }
   Reindex(*endpoint, now);
   quarantines_.erase({endpoint->quarantined_until(), endpoint->ordinal});
   index_keys_.erase(endpoint->ordinal);
   by_ordinal_.erase(endpoint->ordinal);
   endpoints_.erase(endpoint->info.id);
-  UpdateLongestPrompt();
+  UpdateMaxPrompt();
 }
 
 void PolicyBase::RemoveEndpoint(const EndpointId& endpoint, Time now) {
@@ -130,7 +131,7 @@
     ++counters_.unknown;
     return;
   }
-  Drop(known, now);
+  EraseEndpoint(known, now);
   OnCapacity(now);
 }
 
@@ -142,7 +143,7 @@
   }
   if (report.incarnation != endpoint->info.incarnation ||
       (endpoint->has_report && report.sequence <= endpoint->report.sequence)) {
-    ++counters_.backward;
+    ++counters_.stale;
     return;
   }
   LoadReport clamped = report;
@@ -155,14 +156,14 @@
       clamped.age != report.age || clamped.running != report.running ||
       clamped.waiting != report.waiting ||
       clamped.queued_prompt_tokens != report.queued_prompt_tokens;
-  if (absurd) ++counters_.absurd;
+  if (absurd) ++counters_.out_of_range;
   endpoint->report = clamped;
   endpoint->has_report = true;
   endpoint->reported_at = now;
-  const int foreign_before = endpoint->foreign();
-  endpoint->UpdateForeign(now);
+  const int foreign_before = endpoint->untracked_slots();
+  endpoint->UpdateUntrackedSlots(now);
   Reindex(*endpoint, now);
-  if (endpoint->foreign() < foreign_before) OnCapacity(now);
+  if (endpoint->untracked_slots() < foreign_before) OnCapacity(now);
 }
 
 void PolicyBase::OnCacheEvent(const CacheEvent& event, Time now) {
@@ -172,7 +173,7 @@
     return;
   }
   if (event.sequence <= endpoint->last_cache_sequence) {
-    ++counters_.backward;
+    ++counters_.stale;
     return;
   }
   if (event.sequence != endpoint->last_cache_sequence + 1) {
@@ -183,19 +184,19 @@
 }
 
 void PolicyBase::Admit(const RouteRequest& request, Time now) {
-  ++undecided_;
+  ++pending_admissions_;
   Request* known = FindRequest(request.id);
   if (known && request.attempt > known->request.attempt) {
     // The failure of the attempt before was not reported.
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     Release(request.id, now);
     known = nullptr;
   }
   if (known) {
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     // A request in the queue gets its one answer later; a running one gets the
     // same grant again, as the first may have been lost.
-    --undecided_;
+    --pending_admissions_;
     if (known->stage != RequestStage::kQueued && known->decode) {
       outputs_.push_back(MakeGrant(*known));
     }
@@ -212,7 +213,7 @@
       request.prompt_tokens < Tokens(0) || request.prompt_tokens > kMaxPrompt ||
       request.delivered_tokens < Tokens(0) || request.arrived > now;
   if (absurd) {
-    ++counters_.absurd;
+    ++counters_.out_of_range;
     added.request.prompt_tokens =
         std::clamp(request.prompt_tokens, Tokens(0), kMaxPrompt);
     added.request.delivered_tokens =
@@ -241,7 +242,7 @@
     return;
   }
   if (known->stage != RequestStage::kPrefill) {
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     return;
   }
   known->stage = RequestStage::kTransfer;
@@ -260,7 +261,7 @@
   const bool running = known->stage == RequestStage::kPrefill ||
                        known->stage == RequestStage::kTransfer;
   if (!running) {
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     return;
   }
   ReleasePrefill(*known, now);
@@ -284,7 +285,7 @@
     ++counters_.unknown;
     return;
   }
-  if (output_tokens < Tokens(0)) ++counters_.absurd;
+  if (output_tokens < Tokens(0)) ++counters_.out_of_range;
   OnOutput(*known, std::max(Tokens(0), output_tokens), now);
   Release(request, now);
   OnCapacity(now);
@@ -294,7 +295,7 @@
                           Time now) {
   const std::shared_ptr<PoolEndpoint> blamed = Find(endpoint);
   if (blamed && blamed->RecordFailure(now)) {
-    Notify(*blamed, "repeated failures", now);
+    EmitQuarantineNotice(*blamed, "repeated failures", now);
   }
   if (FindRequest(request)) {
     Release(request, now);
@@ -342,11 +343,11 @@
     return;
   }
   if (FindRequest(adopted.request.id)) {
-    ++counters_.contradictory;
+    ++counters_.inconsistent;
     return;
   }
   if (requests_.size() >= kMaxRequests) {
-    ++counters_.absurd;
+    ++counters_.out_of_range;
     return;
   }
   Request& request = requests_[adopted.request.id];
@@ -359,18 +360,20 @@
   if (adopted.stage == RequestStage::kPrefill) {
     request.pending_prefill = adopted.prefill;
   }
-  if (const auto prefill = Find(adopted.prefill)) Attach(request, prefill, now);
-  if (const auto decode = Find(adopted.decode)) Attach(request, decode, now);
+  if (const auto prefill = Find(adopted.prefill))
+    ResolvePlacement(request, prefill, now);
+  if (const auto decode = Find(adopted.decode))
+    ResolvePlacement(request, decode, now);
   OnBegin(request, now);
 }
 
-void PolicyBase::Attach(Request& request,
-                        const std::shared_ptr<PoolEndpoint>& endpoint,
-                        Time now) {
+void PolicyBase::ResolvePlacement(Request& request,
+                                  const std::shared_ptr<PoolEndpoint>& endpoint,
+                                  Time now) {
   if (request.pending_decode == endpoint->info.id && !request.decode) {
     request.pending_decode = EndpointId();
     request.decode = endpoint;
-    HoldDecode(request, now);
+    HoldDecodeSlot(request, now);
   }
   if (request.pending_prefill == endpoint->info.id && !request.prefill) {
     request.pending_prefill = EndpointId();
@@ -391,10 +394,11 @@
   }
   if (known->quarantined(now)) return;
   known->Quarantine(now);
-  Notify(*known, "cancel not confirmed", now);
+  EmitQuarantineNotice(*known, "cancel not confirmed", now);
 }
 
-void PolicyBase::Notify(PoolEndpoint& endpoint, std::string reason, Time now) {
+void PolicyBase::EmitQuarantineNotice(PoolEndpoint& endpoint,
+                                      std::string reason, Time now) {
   ++counters_.quarantines;
   outputs_.push_back(QuarantineNotice{endpoint.info.id, std::move(reason),
                                       endpoint.quarantined_until()});
@@ -482,13 +486,13 @@
                        Tokens prefill_tokens, Time now) {
   CheckInvariant(request.stage == RequestStage::kQueued, "one output an admit");
   OnDequeue(request, now);
-  --undecided_;
+  --pending_admissions_;
   ++counters_.granted;
   request.stage = RequestStage::kPrefill;
   request.granted = now;
   request.prefill = std::move(prefill);
   request.decode = std::move(decode);
-  HoldDecode(request, now);
+  HoldDecodeSlot(request, now);
   if (request.prefill) {
     PoolEndpoint& engine = *request.prefill;
     request.queued_tokens = prefill_tokens;
@@ -541,7 +545,7 @@
   Release(id, now);
 }
 
-void PolicyBase::HoldDecode(Request& request, Time now) {
+void PolicyBase::HoldDecodeSlot(Request& request, Time now) {
   PoolEndpoint& decode = *request.decode;
   ++decode.held;
   if (request.stage != RequestStage::kDecode) ++decode.reserved;
@@ -568,7 +572,7 @@
   const auto found = requests_.find(id);
   Request& request = found->second;
   if (request.stage == RequestStage::kQueued) {
-    --undecided_;
+    --pending_admissions_;
     OnDequeue(request, now);
   } else {
     OnEnd(request, now);
@@ -586,12 +590,12 @@
     Reindex(decode, now);
   }
   requests_.erase(found);
-  CheckInvariant(undecided_ >= 0, "one output an admit");
+  CheckInvariant(pending_admissions_ >= 0, "one output an admit");
 }
 
 void PolicyBase::Reindex(PoolEndpoint& endpoint, Time now) {
   if (!by_ordinal_.contains(endpoint.ordinal)) return;
-  Index& index = endpoint.IsDecode() ? decodes_ : prefills_;
+  EndpointIndex& index = endpoint.IsDecode() ? decodes_ : prefills_;
   IndexKey& key = index_keys_[endpoint.ordinal];
   // After a quarantine one request at a time tries the endpoint.
   const bool busy_on_trial =
@@ -642,9 +646,8 @@
   return std::find(avoid.begin(), avoid.end(), endpoint.info.id) != avoid.end();
 }
 
-std::shared_ptr<PoolEndpoint> PolicyBase::First(const Index& index,
-                                                const Request& request,
-                                                Time now) const {
+std::shared_ptr<PoolEndpoint> PolicyBase::FirstAvailable(
+    const EndpointIndex& index, const Request& request, Time now) const {
   std::shared_ptr<PoolEndpoint> fallback;
   for (const auto& [score, ordinal] : index) {
     const std::shared_ptr<PoolEndpoint> endpoint = ByOrdinal(ordinal);
--- a/servers/routing/policy_base.h
+++ b/servers/routing/policy_base.h
@@ -1,5 +1,6 @@
-// Bookkeeping that all routing policies share: endpoints, requests in progress,
-// quarantine, adoption, cancel orders and rows. A policy adds the choice.
+// State tracking shared by all routing policies: endpoints, requests in
+// progress, quarantine, adoption of running requests, cancel orders and status
+// rows. A derived class decides where requests are placed.
 #ifndef SERVERS_ROUTING_POLICY_BASE_H_
 #define SERVERS_ROUTING_POLICY_BASE_H_
 
@@ -47,58 +48,65 @@
   PolicyCounters Counters() const override { return counters_; }
 
  protected:
-  /// A request that is queued or running. Freed on its refusal, end, failure
-  /// or cancel.
+  /// A queued or running request. Freed when it is refused, finishes, fails or
+  /// is cancelled.
   struct Request {
     RouteRequest request;
     RequestStage stage = RequestStage::kQueued;
     ClassTargets targets;
     Time granted{};
     Time first_token_at{};
-    /// Null when the decode engine prefills, or the endpoint is unknown.
+    /// Null if the decode engine prefills the prompt, or if the endpoint of an
+    /// adopted request is not known yet.
     std::shared_ptr<PoolEndpoint> prefill;
     std::shared_ptr<PoolEndpoint> decode;
-    /// Part of `prefill->queued_prompt_tokens` that is this request's.
+    /// This request's share of `prefill->queued_prompt_tokens`. While it is
+    /// queued, a policy may keep its own count here.
     Tokens queued_tokens{0};
-    /// Adopted places whose endpoints are not known yet.
+    /// Endpoints of an adopted request that have not announced themselves yet.
     EndpointId pending_prefill;
     EndpointId pending_decode;
-    /// When the first token is due, and the latest grant that can meet it;
-    /// used by policies that queue by deadline.
-    Time due{};
+    /// When the first token is due and the latest grant that can meet it, for
+    /// policies that queue by deadline. Unlike deadline(), the policy may
+    /// extend this deadline beyond the class's target.
+    Time effective_deadline{};
     Time admit_by{};
 
     Time deadline() const { return request.arrived + targets.first_token; }
-    /// Tokens to prefill, with those that earlier attempts delivered.
+    /// Tokens to prefill, including the output tokens that earlier attempts
+    /// delivered.
     Tokens prompt() const {
       return request.prompt_tokens + request.delivered_tokens;
     }
   };
 
-  using Index = std::set<std::pair<std::int64_t, std::uint64_t>>;
+  /// Endpoints of one role as (score, ordinal), in order of preference.
+  using EndpointIndex = std::set<std::pair<std::int64_t, std::uint64_t>>;
 
-  /// Calls Start or Refuse for the request, or keeps it in a queue.
+  /// Calls Start or Refuse for the request, or queues it.
   virtual void Place(Request& request, Time now) = 0;
-  /// Slots or prompt capacity were freed, or an endpoint has become available.
+  /// Called when slots or prefill capacity may have been freed or an endpoint
+  /// may have become available.
   virtual void OnCapacity(Time /*now*/) {}
-  /// The request leaves its queue, by a grant or otherwise.
+  /// Called before a queued request is granted or freed.
   virtual void OnDequeue(const Request& /*request*/, Time /*now*/) {}
-  /// The request holds a slot from now on: granted or adopted.
+  /// Called when a request has been granted or adopted; it counts as holding a
+  /// slot until OnEnd.
   virtual void OnBegin(Request& /*request*/, Time /*now*/) {}
-  /// A request for which OnBegin was called is about to be freed.
+  /// Called before a request that was granted or adopted is freed.
   virtual void OnEnd(const Request& /*request*/, Time /*now*/) {}
   virtual void OnPrefillDone(Request& /*request*/, Time /*now*/) {}
   virtual void OnFirstOutput(const Request& /*request*/, Time /*now*/) {}
   virtual void OnOutput(const Request& /*request*/, Tokens /*output*/,
                         Time /*now*/) {}
-  /// An event in sequence, or after a gap.
+  /// Called for events with a new sequence number, also after a gap.
   virtual void ApplyCacheEvent(const PoolEndpoint& /*endpoint*/,
                                const CacheEvent& /*event*/, Time /*now*/) {}
-  /// Order among endpoints of one role; the lowest is taken first.
+  /// Sort key among the endpoints of one role; the lowest is preferred.
   virtual std::int64_t DecodeScore(const PoolEndpoint& endpoint) const;
   virtual std::int64_t PrefillScore(const PoolEndpoint& endpoint) const;
 
-  /// True if a prefill engine must prefill this prompt.
+  /// Returns whether the prompt must be prefilled by a prefill engine.
   bool NeedsPrefillEngine(const Request& request) const;
   /// Grants the request. `prefill` may be null.
   void Start(Request& request, std::shared_ptr<PoolEndpoint> prefill,
@@ -107,33 +115,36 @@
   /// Refuses and frees the request.
   void Refuse(const Request& request, RefusalReason reason,
               Duration retry_after, Time now);
-  /// Refreshes the endpoint's place in the index after a change.
+  /// Updates the endpoint's index entry after a change of its state.
   void Reindex(PoolEndpoint& endpoint, Time now);
-  /// Counts an invariant that does not hold. `name` must be a literal.
+  /// Counts a violation if `holds` is false. `name` must be a string literal.
   void CheckInvariant(bool holds, std::string_view name);
 
   std::shared_ptr<PoolEndpoint> Find(const EndpointId& id) const;
   std::shared_ptr<PoolEndpoint> ByOrdinal(std::uint64_t ordinal) const;
   Request* FindRequest(const RequestId& id);
   const Request* FindRequest(const RequestId& id) const;
-  /// The first available endpoint of an index that the request may use; null
-  /// when there is none. Endpoints that failed it before come last.
-  std::shared_ptr<PoolEndpoint> First(const Index& index,
-                                      const Request& request, Time now) const;
+  /// The first available endpoint of the index, or null. Endpoints in the
+  /// request's `avoid` list are used only if there is no other.
+  std::shared_ptr<PoolEndpoint> FirstAvailable(const EndpointIndex& index,
+                                               const Request& request,
+                                               Time now) const;
   bool Avoids(const Request& request, const PoolEndpoint& endpoint) const;
 
   const RoutingOptions& options() const { return options_; }
-  const Index& decodes() const { return decodes_; }
-  const Index& prefills() const { return prefills_; }
+  const EndpointIndex& decodes() const { return decodes_; }
+  const EndpointIndex& prefills() const { return prefills_; }
   std::size_t request_count() const { return requests_.size(); }
-  /// Slots of the decode engines that may take work.
+  /// Total slots of the decode engines that accept new work.
   int available_slots() const { return available_slots_; }
-  /// Of those, the free ones.
+  /// Free slots among available_slots().
   int available_free_slots() const { return available_free_slots_; }
   PolicyCounters& counters() { return counters_; }
   bool has_prefill_engines() const { return has_prefill_engines_; }
 
  private:
+  /// What an endpoint currently contributes to its index and to the slot
+  /// totals.
   struct IndexKey {
     std::int64_t score = 0;
     bool present = false;
@@ -143,41 +154,46 @@
 
   ClassTargets TargetsOf(const ClassId& id) const;
   Grant MakeGrant(const Request& request) const;
-  void Attach(Request& request, const std::shared_ptr<PoolEndpoint>& endpoint,
-              Time now);
-  void HoldDecode(Request& request, Time now);
+  /// Places an adopted request on `endpoint` if it was waiting for it.
+  void ResolvePlacement(Request& request,
+                        const std::shared_ptr<PoolEndpoint>& endpoint,
+                        Time now);
+  void HoldDecodeSlot(Request& request, Time now);
   void ReleasePrefill(Request& request, Time now);
-  /// Frees all that the request holds and forgets it.
+  /// Frees the request and everything reserved for it.
   void Release(const RequestId& id, Time now);
   void OrderCancel(const Request& request, const PoolEndpoint& endpoint);
-  void Notify(PoolEndpoint& endpoint, std::string reason, Time now);
-  void UpdateLongestPrompt();
-  void Drop(const std::shared_ptr<PoolEndpoint>& endpoint, Time now);
+  /// Outputs the notice and schedules the end of the quarantine.
+  void EmitQuarantineNotice(PoolEndpoint& endpoint, std::string reason,
+                            Time now);
+  void UpdateMaxPrompt();
+  void EraseEndpoint(const std::shared_ptr<PoolEndpoint>& endpoint, Time now);
 
   RoutingOptions options_;
   ServiceId service_;
-  /// The pool has prefill engines, or lost its last one recently.
+  /// The pool has a prefill engine, or lost its last one less than
+  /// kPrefillAbsence ago. Cleared when an endpoint is next upserted.
   bool has_prefill_engines_ = false;
   int prefill_count_ = 0;
-  /// When the last prefill engine was lost.
-  Time prefill_seen_{};
-  /// Longest prompt that some decode engine can hold.
+  /// When a prefill engine was last removed.
+  Time last_prefill_removed_at_{};
+  /// Longest prompt whose KV cache fits on at least one decode engine.
   Tokens max_prompt_{0};
   std::uint64_t next_ordinal_ = 0;
   std::map<EndpointId, std::shared_ptr<PoolEndpoint>> endpoints_;
   std::unordered_map<std::uint64_t, std::shared_ptr<PoolEndpoint>> by_ordinal_;
   std::unordered_map<std::uint64_t, IndexKey> index_keys_;
-  Index decodes_;
-  Index prefills_;
+  EndpointIndex decodes_;
+  EndpointIndex prefills_;
   int available_slots_ = 0;
   int available_free_slots_ = 0;
-  /// Ends of quarantines, by time.
+  /// Endpoint ordinals by the end of their quarantine.
   std::set<std::pair<Time, std::uint64_t>> quarantines_;
   std::unordered_map<RequestId, Request> requests_;
   std::vector<RouteOutput> outputs_;
   PolicyCounters counters_;
-  /// Admit calls less grants, refusals and ends in the queue.
-  std::int64_t undecided_ = 0;
+  /// Admit calls minus grants, refusals and requests freed while queued.
+  std::int64_t pending_admissions_ = 0;
 };
 
 }  // namespace cassiausher
--- a/servers/routing/pool_endpoint.cc
+++ b/servers/routing/pool_endpoint.cc
@@ -43,24 +43,26 @@
 }
 
 void PoolEndpoint::RecordHeld(Time now) {
-  const std::int64_t index = now.time_since_epoch() / kBucket;
-  HeldBucket& bucket = history_[static_cast<std::size_t>(index) % kBuckets];
+  const std::int64_t index = now.time_since_epoch() / kHistoryBucket;
+  HeldBucket& bucket =
+      held_history_[static_cast<std::size_t>(index) % kHistoryBuckets];
   if (bucket.index != index) bucket = {index, held};
-  bucket.most = std::max(bucket.most, held);
+  bucket.max_held = std::max(bucket.max_held, held);
 }
 
-void PoolEndpoint::UpdateForeign(Time now) {
-  foreign_ = 0;
-  if (!has_report || now - reported_at > kBucket * kBuckets / 2) return;
+void PoolEndpoint::UpdateUntrackedSlots(Time now) {
+  untracked_slots_ = 0;
+  if (!has_report || now - reported_at > kHistoryBucket * kHistoryBuckets / 2)
+    return;
   const Time written = reported_at - report.age;
-  if (now - written > kBucket * (kBuckets - 1)) return;
-  const std::int64_t first = written.time_since_epoch() / kBucket - 1;
+  if (now - written > kHistoryBucket * (kHistoryBuckets - 1)) return;
+  const std::int64_t first = written.time_since_epoch() / kHistoryBucket - 1;
   int most = held;
-  for (const HeldBucket& bucket : history_) {
-    if (bucket.index >= first) most = std::max(most, bucket.most);
+  for (const HeldBucket& bucket : held_history_) {
+    if (bucket.index >= first) most = std::max(most, bucket.max_held);
   }
   const int reported = report.running + report.waiting;
-  foreign_ = std::clamp(reported - most, 0, info.slots);
+  untracked_slots_ = std::clamp(reported - most, 0, info.slots);
 }
 
 }  // namespace cassiausher
--- a/servers/routing/pool_endpoint.h
+++ b/servers/routing/pool_endpoint.h
@@ -1,5 +1,5 @@
-// An endpoint as a policy tracks it: announced facts, the work the policy has
-// placed on it, and its state of quarantine.
+// A policy's state of one endpoint: its announced properties, the work that the
+// policy has placed on it, and its quarantine.
 #ifndef SERVERS_ROUTING_POOL_ENDPOINT_H_
 #define SERVERS_ROUTING_POOL_ENDPOINT_H_
 
@@ -18,23 +18,26 @@
       : info(endpoint_info), ordinal(endpoint_ordinal) {}
 
   EndpointInfo info;
-  /// Order of first sight; breaks ties so that a run can be repeated.
+  /// Registration order; breaks ties deterministically, so that a run can be
+  /// reproduced.
   std::uint64_t ordinal;
-  /// Dead or restarted. Requests placed on it still refer to it.
+  /// The endpoint died, restarted or changed its role. Requests placed on it
+  /// still refer to it.
   bool removed = false;
 
-  /// Requests granted a decode slot and not yet ended. Never negative.
+  /// Requests that hold a decode slot. Never negative.
   int held = 0;
-  /// Of those, the ones that have not produced a first token yet.
+  /// Of those in `held`, the ones without a first token yet.
   int reserved = 0;
-  /// Of the reserved ones, those that a prefill engine prefills.
+  /// Of those in `reserved`, the ones that a prefill engine prefills.
   int prefilling_elsewhere = 0;
-  /// Prompt tokens granted whose prefill has not ended. Never negative.
+  /// Prompt tokens granted to this endpoint whose prefill has not finished.
+  /// Never negative.
   Tokens queued_prompt_tokens{0};
-  /// When the queued prompts are expected to be done.
+  /// When the prefill of the queued prompts is expected to finish.
   Time prefill_busy_until{};
 
-  /// KV cache that the held requests are expected to grow to.
+  /// Expected final size of the KV cache of the held requests.
   Bytes kv_committed{0};
 
   bool has_report = false;
@@ -45,55 +48,58 @@
   bool IsDecode() const { return info.role != EndpointRole::kPrefill; }
   bool quarantined(Time now) const { return now < quarantined_until_; }
   Time quarantined_until() const { return quarantined_until_; }
-  /// May take new work.
+  /// Returns whether the endpoint may be given new work.
   bool Available(Time now) const {
     return !removed && !info.departing && !quarantined(now);
   }
-  /// Was quarantined and has had no success since.
+  /// Whether the endpoint was quarantined and no request has succeeded since.
   bool on_trial() const { return quarantines_ > 0; }
-  int free_slots() const { return info.slots - held - foreign_; }
+  int free_slots() const { return info.slots - held - untracked_slots_; }
 
-  /// Time that the engine needs for `tokens` of prompt, alone.
+  /// Time that an idle engine needs to prefill `tokens`.
   Duration PrefillTime(Tokens tokens) const;
 
-  /// Counts a failure. Returns true if the endpoint is now put into
-  /// quarantine: after kFailuresToQuarantine in a row, or at once when it
-  /// fails the first request after a quarantine.
+  /// Records a failure. Returns true if it starts a quarantine: after
+  /// kFailuresToQuarantine consecutive failures, or at once if no request has
+  /// succeeded since the previous quarantine.
   bool RecordFailure(Time now);
-  /// Ends the count of failures; the backoff starts anew.
+  /// Resets the count of consecutive failures and the backoff.
   void RecordSuccess();
-  /// Doubles the time of the previous quarantine, up to kMaxBackoff.
+  /// Starts a quarantine twice as long as the previous one, up to kMaxBackoff.
   void Quarantine(Time now);
 
-  /// Remembers `held` for comparison with later reports.
+  /// Records `held` for comparison with later reports.
   void RecordHeld(Time now);
-  /// Slots in use by work that the policy does not know, from the last report.
-  /// Expires when no report confirms it for kForeignLife.
-  int foreign() const { return foreign_; }
-  /// Derives `foreign` from a report. A report lags, so it is compared with the
-  /// most requests held at any moment since it was written.
-  void UpdateForeign(Time now);
+  /// Slots that the last report shows in use beyond the work that the policy
+  /// has placed.
+  int untracked_slots() const { return untracked_slots_; }
+  /// Recomputes untracked_slots() from the last report. Reports lag, so the
+  /// reported work is compared with the maximum of `held` since the report was
+  /// written. A report that arrived more than half the history ago, or was
+  /// written before the history, counts as no untracked slots.
+  void UpdateUntrackedSlots(Time now);
 
  private:
-  /// The failures in a row that open the circuit.
+  /// Consecutive failures that start a quarantine.
   static constexpr int kFailuresToQuarantine = 3;
   static constexpr Duration kFirstBackoff = Seconds(1);
   static constexpr Duration kMaxBackoff = Seconds(60);
-  /// The history of `held` covers kBuckets * kBucket; older reports are not
-  /// used.
-  static constexpr Duration kBucket = Milliseconds(500);
-  static constexpr int kBuckets = 8;
+  /// The history of `held` covers kHistoryBuckets * kHistoryBucket; reports
+  /// written before it are not used.
+  static constexpr Duration kHistoryBucket = Milliseconds(500);
+  static constexpr int kHistoryBuckets = 8;
 
   struct HeldBucket {
     std::int64_t index = -1;
-    int most = 0;
+    int max_held = 0;
   };
 
   int failures_ = 0;
+  /// Quarantines since the last success.
   int quarantines_ = 0;
   Time quarantined_until_{};
-  int foreign_ = 0;
-  std::array<HeldBucket, kBuckets> history_{};
+  int untracked_slots_ = 0;
+  std::array<HeldBucket, kHistoryBuckets> held_history_{};
 };
 
 }  // namespace cassiausher
--- a/servers/routing/retry_budget.cc
+++ b/servers/routing/retry_budget.cc
@@ -5,37 +5,38 @@
 
 namespace cassiausher {
 
-RetryBudget::Slot& RetryBudget::Advance(Time now) {
+RetryBudget::Bucket& RetryBudget::Advance(Time now) {
   const std::int64_t second =
-      std::max(second_, now.time_since_epoch() / Seconds(1));
-  const std::int64_t passed = std::min<std::int64_t>(second - second_, kSlots);
+      std::max(current_second_, now.time_since_epoch() / Seconds(1));
+  const std::int64_t passed =
+      std::min<std::int64_t>(second - current_second_, kBuckets);
   for (std::int64_t i = 1; i <= passed; ++i) {
-    Slot& expired = slots_[(second - passed + i) % kSlots];
-    sum_.requests -= expired.requests;
-    sum_.retries -= expired.retries;
+    Bucket& expired = buckets_[(second - passed + i) % kBuckets];
+    window_total_.requests -= expired.requests;
+    window_total_.retries -= expired.retries;
     expired = {};
   }
-  second_ = second;
-  return slots_[second % kSlots];
+  current_second_ = second;
+  return buckets_[second % kBuckets];
 }
 
 void RetryBudget::OnRequest(Time now) {
   ++Advance(now).requests;
-  ++sum_.requests;
+  ++window_total_.requests;
 }
 
 double RetryBudget::Remaining(Time now) {
   Advance(now);
   const double allowed =
-      options_.ratio * static_cast<double>(sum_.requests) +
-      options_.floor_per_second * static_cast<double>(kSlots);
-  return std::max(0.0, allowed - static_cast<double>(sum_.retries));
+      options_.ratio * static_cast<double>(window_total_.requests) +
+      options_.floor_per_second * static_cast<double>(kBuckets);
+  return std::max(0.0, allowed - static_cast<double>(window_total_.retries));
 }
 
 bool RetryBudget::TryRetry(Time now) {
   if (Remaining(now) < 1) return false;
   ++Advance(now).retries;
-  ++sum_.retries;
+  ++window_total_.retries;
   return true;
 }
 
--- a/servers/routing/retry_budget.h
+++ b/servers/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Bounds retries to a share of recent requests, so that retries can't multiply
-// the load of a pool that fails because it is overloaded.
+// Limits retries to a fraction of recent requests, so that retries can't
+// multiply the load of a pool that fails because it is overloaded.
 #ifndef SERVERS_ROUTING_RETRY_BUDGET_H_
 #define SERVERS_ROUTING_RETRY_BUDGET_H_
 
@@ -11,39 +11,40 @@
 namespace cassiausher {
 
 struct RetryBudgetOptions {
-  /// Retries for each request of the last ten seconds.
+  /// Retries allowed per request of the last ten seconds.
   double ratio = 0.1;
-  /// Retries a second that are allowed at any load; a quiet pool with one
-  /// failed engine can still retry.
+  /// Retries per second allowed at any load, so that a pool with little
+  /// traffic and one failed engine can still retry.
   double floor_per_second = 1;
 };
 
-/// Not thread safe.
+/// Not thread-safe.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options) : options_(options) {}
 
-  /// Counts a first attempt.
+  /// Records the first attempt of a request.
   void OnRequest(Time now);
-  /// Takes one retry from the budget; false if it is spent.
+  /// Takes one retry from the budget. Returns false if it is exhausted.
   bool TryRetry(Time now);
-  /// Retries left now.
+  /// Number of retries left at `now`.
   double Remaining(Time now);
 
  private:
-  /// One second each; together the window.
-  static constexpr std::size_t kSlots = 10;
-  struct Slot {
+  /// The sliding window consists of this many one-second buckets.
+  static constexpr std::size_t kBuckets = 10;
+  struct Bucket {
     std::int64_t requests = 0;
     std::int64_t retries = 0;
   };
 
-  Slot& Advance(Time now);
+  /// Clears the buckets that have left the window; returns the current one.
+  Bucket& Advance(Time now);
 
   RetryBudgetOptions options_;
-  std::array<Slot, kSlots> slots_{};
-  std::int64_t second_ = 0;
-  Slot sum_;
+  std::array<Bucket, kBuckets> buckets_{};
+  std::int64_t current_second_ = 0;
+  Bucket window_total_;
 };
 
 }  // namespace cassiausher
--- a/servers/routing/router_types.h
+++ b/servers/routing/router_types.h
@@ -1,5 +1,5 @@
-// The values that go into and come out of a routing policy. Times are those of
-// the pool owner's clock.
+// Inputs and outputs of a routing policy. All times are on the pool owner's
+// clock.
 #ifndef SERVERS_ROUTING_ROUTER_TYPES_H_
 #define SERVERS_ROUTING_ROUTER_TYPES_H_
 
@@ -15,32 +15,34 @@
 
 namespace cassiausher {
 
-/// What is known of an endpoint from its announcements and the configuration.
+/// Properties of an endpoint from its announcements and the configuration.
 struct EndpointInfo {
   EndpointId id;
   DataCentreId data_centre;
   ServiceId service;
   EndpointRole role = EndpointRole::kDecode;
   std::string url;
-  /// Requests a decode engine runs at once, or calls a plain service takes.
+  /// Concurrent requests of a decode engine, or calls of a service without a
+  /// model engine.
   int slots = 20;
   Bytes kv_capacity{0};
   double prefill_tokens_per_second = 0;
   Bytes kv_bytes_per_token{0};
   bool honours_fencing = true;
   Incarnation incarnation{0};
-  /// Takes no new work: the endpoint announced its departure or an operator
-  /// drains it.
+  /// The endpoint takes no new work because it announced its departure or an
+  /// operator is draining it.
   bool departing = false;
 
   bool operator==(const EndpointInfo&) const = default;
 };
 
-/// Load as an endpoint reports it, late.
+/// Load reported by an endpoint. Reports arrive with a delay.
 struct LoadReport {
   EndpointId endpoint;
   Incarnation incarnation{0};
-  /// Grows with each report; an older number than the last one is ignored.
+  /// Increases with each report. A report whose number is not above the last
+  /// one's is ignored.
   std::uint64_t sequence = 0;
   /// Age of the report at its arrival.
   Duration age{0};
@@ -52,7 +54,8 @@
 
 enum class CacheEventKind { kStored, kRemoved };
 
-/// A prefix entered or left an engine's cache. Late and with gaps.
+/// A prompt prefix entered or left an engine's cache. Events arrive with a
+/// delay and may be lost.
 struct CacheEvent {
   EndpointId endpoint;
   std::uint64_t sequence = 0;
@@ -60,10 +63,10 @@
   std::uint64_t prefix_hash = 0;
 };
 
-/// Latency targets and order of one class.
+/// Latency targets and priority of one request class.
 struct ClassTargets {
   ClassId id;
-  /// Lower runs first.
+  /// Lower values run first.
   int priority = 1;
   Duration first_token = Milliseconds(860);
   Duration between_tokens = Milliseconds(42);
@@ -71,8 +74,8 @@
   bool operator==(const ClassTargets&) const = default;
 };
 
-/// A request that asks for a place. `arrived` is when the entry instance
-/// received it, on the pool owner's clock.
+/// A request to be placed. `arrived` is when the entry instance received it, on
+/// the pool owner's clock.
 struct RouteRequest {
   RequestId id;
   InstanceId entry;
@@ -86,45 +89,48 @@
   /// docs/endpoint-protocol.md.
   std::vector<std::uint64_t> prefix_hashes;
   bool idempotent = true;
-  /// 0 at first; counts the placements that failed before.
+  /// Number of earlier placements that failed.
   int attempt = 0;
-  /// Tokens delivered by earlier attempts; they are read again as prompt.
+  /// Output tokens delivered by earlier attempts; they are prefilled again as
+  /// part of the prompt.
   Tokens delivered_tokens{0};
-  /// Another data centre's pool, with free slots by its last summary, can be
-  /// asked if this one refuses. A policy then need not let the request wait.
+  /// If this pool refuses, the request can be forwarded to another data
+  /// centre's pool, which has free slots by its last summary. A policy may then
+  /// refuse instead of queueing.
   bool may_forward = false;
-  /// Endpoints that failed this request before.
+  /// Endpoints that failed this request in earlier attempts.
   std::vector<EndpointId> avoid;
 };
 
-/// Where a request runs. The entry instance starts at once.
+/// Placement of a request, which its entry instance starts at once.
 struct Grant {
   RequestId request;
   InstanceId entry;
-  /// Empty: the decode engine prefills the prompt itself.
+  /// Empty if the decode engine prefills the prompt itself.
   EndpointId prefill;
   std::string prefill_url;
   EndpointId decode;
   std::string decode_url;
-  /// Engine priority, lower runs first.
+  /// Priority on the engine; lower values run first.
   int priority = 1;
-  /// Longest time to the end of prefill, and from there to the first token,
-  /// before the entry instance treats the endpoint as silent.
+  /// Timeouts after which the entry instance treats the endpoint as
+  /// unresponsive: until the prefill ends, from there to the first token, and
+  /// between tokens.
   Duration prefill_timeout{0};
   Duration first_token_timeout{0};
   Duration between_tokens_timeout{0};
 };
 
 enum class RefusalReason {
-  kOverloaded,      ///< The deadline can't be met; come back later.
+  kOverloaded,      ///< The deadline can't be met; the caller may retry later.
   kUnknownService,  ///< No such service, or no endpoint of it is known.
   kPromptTooLong,   ///< No endpoint can hold the prompt's KV cache.
-  kRetriesSpent,    ///< The retry budget is empty.
+  kRetriesSpent,    ///< The retry budget is exhausted.
   kAccountLimit,    ///< The client account's rate or concurrency is used up.
 };
 
-/// The request was not placed. It was not run unless `RouteRequest::attempt`
-/// was above 0.
+/// The request was not placed. No endpoint has run any of it unless
+/// `RouteRequest::attempt` was above 0.
 struct RouteRefusal {
   RequestId request;
   InstanceId entry;
@@ -132,16 +138,16 @@
   Duration retry_after{0};
 };
 
-/// Orders the pool owner to free what an endpoint holds of a request whose
-/// entry instance is gone.
+/// Tells the pool owner to cancel, on one endpoint, a request whose entry
+/// instance is dead.
 struct CancelOrder {
   RequestId request;
   EndpointId endpoint;
   std::string url;
 };
 
-/// The endpoint doesn't obey, or fails too often; it gets no new work until
-/// `until`.
+/// The endpoint fails repeatedly or did not confirm a cancel; it gets no new
+/// work before `until`.
 struct QuarantineNotice {
   EndpointId endpoint;
   std::string reason;
@@ -153,7 +159,7 @@
 
 enum class RequestStage { kQueued, kPrefill, kTransfer, kDecode };
 
-/// A request in progress as the entry instance tells it to a new pool owner.
+/// A request in progress that an entry instance reports to a new pool owner.
 struct AdoptedRequest {
   RouteRequest request;
   RequestStage stage = RequestStage::kDecode;
@@ -172,7 +178,8 @@
   EndpointId prefill;
   EndpointId decode;
   Duration age{0};
-  /// How far past its first-token target; negative while within it.
+  /// Time by which the first token misses its target, or has missed it so far;
+  /// negative while within the target.
   Duration late{0};
 };
 
