--- a/servers/routing/account_limits.cc
+++ b/servers/routing/account_limits.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-// A weight of 0 would leave an account without any share.
-constexpr double kWeightMinimum = 1e-3;
-constexpr double kRateMinimum = 1e-6;
+// A weight of 0 would leave an account without any fair share.
+constexpr double kMinWeight = 1e-3;
+// Keeps the time until the next token finite.
+constexpr double kMinRequestsPerSecond = 1e-6;
 
 double WeightOf(const AccountLimit& limit) {
-  return std::max(limit.weight, kWeightMinimum);
+  return std::max(limit.weight, kMinWeight);
 }
 
 }  // namespace
@@ -41,7 +42,8 @@
 }
 
 double AccountLimits::RateShare(const AccountLimit& limit) const {
-  return std::max(limit.requests_per_second / instances_, kRateMinimum);
+  return std::max(limit.requests_per_second / instances_,
+                  kMinRequestsPerSecond);
 }
 
 double AccountLimits::BurstShare(const AccountLimit& limit) const {
@@ -91,16 +93,18 @@
   if (usage->in_progress >= ConcurrencyShare(limit)) {
     return {LimitVerdict::kConcurrency, options_.concurrency_retry_after};
   }
-  const bool crowded = in_progress_ >= options_.fair_share_threshold *
-                                           options_.instance_concurrency;
-  if (crowded && usage->in_progress + 1 > std::max(1.0, FairShare(account))) {
+  const bool near_capacity = in_progress_ >= options_.fair_share_threshold *
+                                                 options_.instance_concurrency;
+  if (near_capacity &&
+      usage->in_progress + 1 > std::max(1.0, FairShare(account))) {
     return {LimitVerdict::kFairShare, options_.concurrency_retry_after};
   }
-  // Last, so that a request refused for another reason costs no token.
+  // Checked last, so that a request refused for another reason takes no token.
   if (usage->tokens < 1) {
-    const double wait = (1 - usage->tokens) / rate;
-    return {LimitVerdict::kRate,
-            std::min(FromSeconds(std::min(wait, 3600.0)), Seconds(3600))};
+    const double wait_seconds = (1 - usage->tokens) / rate;
+    return {
+        LimitVerdict::kRate,
+        std::min(FromSeconds(std::min(wait_seconds, 3600.0)), Seconds(3600))};
   }
   usage->tokens -= 1;
   if (usage->in_progress == 0) active_weight_ += WeightOf(limit);
--- a/servers/routing/circuit_breaker.cc
+++ b/servers/routing/circuit_breaker.cc
@@ -1,4 +1,4 @@
-// States of a circuit breaker.
+// State transitions of the circuit breaker.
 #include "servers/routing/circuit_breaker.h"
 
 #include <algorithm>
@@ -30,7 +30,8 @@
 }
 
 void CircuitBreaker::OnSuccess(Time now) {
-  // Late results of calls from before it opened say nothing new.
+  // Late results of calls that started before the breaker opened carry no new
+  // information.
   if (state_ == CircuitState::kOpen) return;
   if (state_ == CircuitState::kHalfOpen) {
     if (!trial_in_progress_) return;
@@ -56,23 +57,25 @@
   ++consecutive_failures_;
   ++window_calls_;
   ++window_failures_;
-  const bool many = window_calls_ >= options_.window_calls &&
-                    window_failures_ >= options_.failure_ratio * window_calls_;
-  if (many || consecutive_failures_ >= options_.consecutive_failures) Open(now);
+  const bool ratio_exceeded =
+      window_calls_ >= options_.window_calls &&
+      window_failures_ >= options_.failure_ratio * window_calls_;
+  if (ratio_exceeded || consecutive_failures_ >= options_.consecutive_failures)
+    Open(now);
 }
 
 void CircuitBreaker::Open(Time now) {
-  Duration pause = options_.backoff_minimum;
-  for (int i = 0; i < opens_since_closed_ && pause < options_.backoff_maximum;
+  Duration backoff = options_.backoff_minimum;
+  for (int i = 0; i < opens_since_closed_ && backoff < options_.backoff_maximum;
        ++i) {
-    pause *= 2;
+    backoff *= 2;
   }
-  pause = std::min(pause, options_.backoff_maximum);
+  backoff = std::min(backoff, options_.backoff_maximum);
   const double factor = 1 + options_.jitter * (2 * random_.Unit() - 1);
   ++opens_since_closed_;
   state_ = CircuitState::kOpen;
   trial_in_progress_ = false;
-  open_until_ = now + FromSeconds(ToSeconds(pause) * factor);
+  open_until_ = now + FromSeconds(ToSeconds(backoff) * factor);
 }
 
 void CircuitBreaker::Close(Time now) {
--- a/servers/routing/policy_base.cc
+++ b/servers/routing/policy_base.cc
@@ -1,4 +1,4 @@
-// Shared bookkeeping of the routing policies.
+// State tracking shared by the routing policies.
 #include "servers/routing/policy_base.h"
 
 #include <algorithm>
@@ -8,28 +8,31 @@
 
 namespace {
 
-/// Requests in progress that a pool keeps at most. Beyond it Admit refuses, so
-/// that memory stays bounded when callers send without limit.
+/// Maximum number of requests in progress in a pool. Beyond it, Admit refuses,
+/// so that memory stays bounded when callers send without limit.
 constexpr std::size_t kMaxRequests = 16384;
-/// Endpoints of one pool; announcements of more are ignored and counted.
+/// Maximum number of endpoints in a pool; announcements of further ones are
+/// ignored and counted.
 constexpr std::size_t kMaxEndpoints = 4096;
 constexpr int kMaxSlots = 4096;
-/// Prefixes up to 2^16 * 1,024 characters, and the failed endpoints of a
-/// request; the rest is dropped.
+/// Prefix hashes kept per request, the shortest ones; each next one covers
+/// twice as many characters, from 1,024 up to 2^15 * 1,024.
 constexpr std::size_t kMaxPrefixHashes = 16;
-constexpr std::size_t kMaxAvoid = 8;
+/// Failed endpoints kept per request; further ones are dropped.
+constexpr std::size_t kMaxAvoidedEndpoints = 8;
 constexpr Tokens kMaxPrompt{10'000'000};
-/// An endpoint is silent when it takes several times as long as expected. The
-/// floor covers scheduling delays of an engine with a full batch.
+/// An endpoint counts as unresponsive when it takes several times as long as
+/// expected. The base covers scheduling delays of an engine with a full batch.
 constexpr int kTimeoutFactor = 4;
-constexpr Duration kTimeoutFloor = Milliseconds(500);
-constexpr Duration kBetweenTokensFloor = Seconds(1);
+constexpr Duration kBaseTimeout = Milliseconds(500);
+constexpr Duration kMinBetweenTokensTimeout = Seconds(1);
 /// After this time without any prefill engine, decode engines prefill long
-/// prompts too. Before, such prompts are refused, as an engine that restarts is
-/// back sooner and long prompts delay all requests of a decode engine.
-constexpr Duration kPrefillAbsence = Seconds(60);
-constexpr Duration kRetryAfterUnknown = Seconds(1);
-constexpr Duration kRetryAfterOverload = Milliseconds(500);
+/// prompts too. Until then such prompts are refused, because a restarting
+/// engine returns sooner and long prompts delay all requests of a decode
+/// engine.
+constexpr Duration kPrefillAbsenceTimeout = Seconds(60);
+constexpr Duration kUnknownServiceRetryAfter = Seconds(1);
+constexpr Duration kOverloadRetryAfter = Milliseconds(500);
 
 }  // namespace
 
@@ -45,8 +48,8 @@
     service_ = endpoint.service;
     has_prefill_engines_ = false;
   }
-  const bool foreign = endpoint.service != service_;
-  if (foreign || endpoint.id.empty()) {
+  const bool other_service = endpoint.service != service_;
+  if (other_service || endpoint.id.empty()) {
     ++counters_.inconsistent;
     return;
   }
@@ -54,8 +57,10 @@
   if (info.slots < 0 || info.slots > kMaxSlots) ++counters_.out_of_range;
   info.slots = std::clamp(info.slots, 0, kMaxSlots);
   if (info.role == EndpointRole::kPrefill) has_prefill_engines_ = true;
-  const bool given_up = now - last_prefill_removed_at_ > kPrefillAbsence;
-  if (prefill_count_ == 0 && given_up && info.role != EndpointRole::kPrefill)
+  const bool absence_expired =
+      now - last_prefill_removed_at_ > kPrefillAbsenceTimeout;
+  if (prefill_count_ == 0 && absence_expired &&
+      info.role != EndpointRole::kPrefill)
     has_prefill_engines_ = false;
 
   std::shared_ptr<PoolEndpoint> known = Find(info.id);
@@ -88,7 +93,8 @@
   endpoints_[info.id] = added;
   if (info.role == EndpointRole::kPrefill) ++prefill_count_;
   by_ordinal_[added->ordinal] = added;
-  // Requests adopted before this endpoint announced itself to the new owner.
+  // Completes requests that were adopted before this endpoint announced itself
+  // to the new owner.
   for (auto& [id, request] : requests_) ResolvePlacement(request, added, now);
   Reindex(*added, now);
   UpdateMaxPrompt();
@@ -106,7 +112,8 @@
         bounded ? Tokens(info.kv_capacity.value() / per_token) : kMaxPrompt;
     max_prompt_ = std::max(max_prompt_, longest);
   }
-  // With no decode engine at all the request is refused for another reason.
+  // Without any decode engine, requests are refused for that reason and not for
+  // the length of their prompt.
   if (max_prompt_ == Tokens(0)) max_prompt_ = kMaxPrompt;
 }
 
@@ -152,18 +159,18 @@
   clamped.waiting = std::clamp(report.waiting, 0, kMaxSlots);
   clamped.queued_prompt_tokens =
       std::clamp(report.queued_prompt_tokens, Tokens(0), kMaxPrompt);
-  const bool absurd =
+  const bool out_of_range =
       clamped.age != report.age || clamped.running != report.running ||
       clamped.waiting != report.waiting ||
       clamped.queued_prompt_tokens != report.queued_prompt_tokens;
-  if (absurd) ++counters_.out_of_range;
+  if (out_of_range) ++counters_.out_of_range;
   endpoint->report = clamped;
   endpoint->has_report = true;
   endpoint->reported_at = now;
-  const int foreign_before = endpoint->untracked_slots();
+  const int untracked_before = endpoint->untracked_slots();
   endpoint->UpdateUntrackedSlots(now);
   Reindex(*endpoint, now);
-  if (endpoint->untracked_slots() < foreign_before) OnCapacity(now);
+  if (endpoint->untracked_slots() < untracked_before) OnCapacity(now);
 }
 
 void PolicyBase::OnCacheEvent(const CacheEvent& event, Time now) {
@@ -187,15 +194,15 @@
   ++pending_admissions_;
   Request* known = FindRequest(request.id);
   if (known && request.attempt > known->request.attempt) {
-    // The failure of the attempt before was not reported.
+    // The failure of the previous attempt was not reported.
     ++counters_.inconsistent;
     Release(request.id, now);
     known = nullptr;
   }
   if (known) {
     ++counters_.inconsistent;
-    // A request in the queue gets its one answer later; a running one gets the
-    // same grant again, as the first may have been lost.
+    // A queued request gets a single answer later. A placed one gets the same
+    // grant again, as the first may have been lost.
     --pending_admissions_;
     if (known->stage != RequestStage::kQueued && known->decode) {
       outputs_.push_back(MakeGrant(*known));
@@ -207,12 +214,12 @@
   std::vector<std::uint64_t>& hashes = added.request.prefix_hashes;
   if (hashes.size() > kMaxPrefixHashes) hashes.resize(kMaxPrefixHashes);
   std::vector<EndpointId>& avoid = added.request.avoid;
-  if (avoid.size() > kMaxAvoid) avoid.resize(kMaxAvoid);
+  if (avoid.size() > kMaxAvoidedEndpoints) avoid.resize(kMaxAvoidedEndpoints);
   added.targets = TargetsOf(request.class_id);
-  const bool absurd =
+  const bool out_of_range =
       request.prompt_tokens < Tokens(0) || request.prompt_tokens > kMaxPrompt ||
       request.delivered_tokens < Tokens(0) || request.arrived > now;
-  if (absurd) {
+  if (out_of_range) {
     ++counters_.out_of_range;
     added.request.prompt_tokens =
         std::clamp(request.prompt_tokens, Tokens(0), kMaxPrompt);
@@ -221,11 +228,12 @@
     added.request.arrived = std::min(request.arrived, now);
   }
   if (endpoints_.empty() || request.service != service_) {
-    Refuse(added, RefusalReason::kUnknownService, kRetryAfterUnknown, now);
+    Refuse(added, RefusalReason::kUnknownService, kUnknownServiceRetryAfter,
+           now);
     return;
   }
   if (requests_.size() > kMaxRequests) {
-    Refuse(added, RefusalReason::kOverloaded, kRetryAfterOverload, now);
+    Refuse(added, RefusalReason::kOverloaded, kOverloadRetryAfter, now);
     return;
   }
   if (added.prompt() > max_prompt_) {
@@ -270,7 +278,8 @@
   if (known->decode) {
     --known->decode->reserved;
     if (known->prefill) --known->decode->prefilling_elsewhere;
-    CheckInvariant(known->decode->reserved >= 0, "reservations balance");
+    CheckInvariant(known->decode->reserved >= 0,
+                   "reserved slots are not negative");
     known->decode->RecordSuccess();
     Reindex(*known->decode, now);
   }
@@ -293,9 +302,9 @@
 
 void PolicyBase::OnFailed(const RequestId& request, const EndpointId& endpoint,
                           Time now) {
-  const std::shared_ptr<PoolEndpoint> blamed = Find(endpoint);
-  if (blamed && blamed->RecordFailure(now)) {
-    EmitQuarantineNotice(*blamed, "repeated failures", now);
+  const std::shared_ptr<PoolEndpoint> failed = Find(endpoint);
+  if (failed && failed->RecordFailure(now)) {
+    EmitQuarantineNotice(*failed, "repeated failures", now);
   }
   if (FindRequest(request)) {
     Release(request, now);
@@ -407,14 +416,14 @@
 }
 
 void PolicyBase::Tick(Time now) {
-  bool ended = false;
+  bool quarantine_ended = false;
   while (!quarantines_.empty() && quarantines_.begin()->first <= now) {
     const auto endpoint = ByOrdinal(quarantines_.begin()->second);
     quarantines_.erase(quarantines_.begin());
     if (endpoint) Reindex(*endpoint, now);
-    ended = true;
+    quarantine_ended = true;
   }
-  if (ended) OnCapacity(now);
+  if (quarantine_ended) OnCapacity(now);
 }
 
 Time PolicyBase::NextWakeup() const {
@@ -439,9 +448,9 @@
     if (request.prefill) row.prefill = request.prefill->info.id;
     if (request.decode) row.decode = request.decode->info.id;
     row.age = now - request.request.arrived;
-    const Time reached =
+    const Time reference_time =
         request.stage == RequestStage::kDecode ? request.first_token_at : now;
-    row.late = reached - request.deadline();
+    row.late = reference_time - request.deadline();
     rows.push_back(std::move(row));
   }
   std::sort(
@@ -484,7 +493,8 @@
 void PolicyBase::Start(Request& request, std::shared_ptr<PoolEndpoint> prefill,
                        std::shared_ptr<PoolEndpoint> decode,
                        Tokens prefill_tokens, Time now) {
-  CheckInvariant(request.stage == RequestStage::kQueued, "one output an admit");
+  CheckInvariant(request.stage == RequestStage::kQueued,
+                 "one output per admission");
   OnDequeue(request, now);
   --pending_admissions_;
   ++counters_.granted;
@@ -526,18 +536,19 @@
   const double link = std::max(1.0, options_.link_bytes_per_second);
   const Duration transfer =
       request.prefill ? FromSeconds(bytes / link) : prefill_time;
-  grant.prefill_timeout = kTimeoutFloor + kTimeoutFactor * prefill_time;
+  grant.prefill_timeout = kBaseTimeout + kTimeoutFactor * prefill_time;
   grant.first_token_timeout =
-      kTimeoutFloor + options_.kv_retention + kTimeoutFactor * transfer;
+      kBaseTimeout + options_.kv_retention + kTimeoutFactor * transfer;
   grant.between_tokens_timeout =
-      std::max(kBetweenTokensFloor, kTimeoutFactor * kTimeoutFactor *
-                                        request.targets.between_tokens);
+      std::max(kMinBetweenTokensTimeout, kTimeoutFactor * kTimeoutFactor *
+                                             request.targets.between_tokens);
   return grant;
 }
 
 void PolicyBase::Refuse(const Request& request, RefusalReason reason,
                         Duration retry_after, Time now) {
-  CheckInvariant(request.stage == RequestStage::kQueued, "one output an admit");
+  CheckInvariant(request.stage == RequestStage::kQueued,
+                 "one output per admission");
   ++counters_.refused;
   outputs_.push_back(RouteRefusal{request.request.id, request.request.entry,
                                   reason, retry_after});
@@ -549,9 +560,9 @@
   PoolEndpoint& decode = *request.decode;
   ++decode.held;
   if (request.stage != RequestStage::kDecode) ++decode.reserved;
-  const bool elsewhere =
+  const bool on_prefill_engine =
       request.prefill && request.stage != RequestStage::kDecode;
-  if (elsewhere) ++decode.prefilling_elsewhere;
+  if (on_prefill_engine) ++decode.prefilling_elsewhere;
   decode.RecordHeld(now);
   Reindex(decode, now);
 }
@@ -562,7 +573,7 @@
   engine.queued_prompt_tokens -= request.queued_tokens;
   request.queued_tokens = Tokens(0);
   CheckInvariant(engine.queued_prompt_tokens >= Tokens(0),
-                 "prompt tokens balance");
+                 "queued prompt tokens are not negative");
   engine.prefill_busy_until =
       now + engine.PrefillTime(engine.queued_prompt_tokens);
   Reindex(engine, now);
@@ -586,18 +597,18 @@
     if (reserved) --decode.reserved;
     if (reserved && request.prefill) --decode.prefilling_elsewhere;
     CheckInvariant(decode.held >= 0 && decode.reserved >= 0,
-                   "reservations balance");
+                   "held and reserved slots are not negative");
     Reindex(decode, now);
   }
   requests_.erase(found);
-  CheckInvariant(pending_admissions_ >= 0, "one output an admit");
+  CheckInvariant(pending_admissions_ >= 0, "one output per admission");
 }
 
 void PolicyBase::Reindex(PoolEndpoint& endpoint, Time now) {
   if (!by_ordinal_.contains(endpoint.ordinal)) return;
   EndpointIndex& index = endpoint.IsDecode() ? decodes_ : prefills_;
   IndexKey& key = index_keys_[endpoint.ordinal];
-  // After a quarantine one request at a time tries the endpoint.
+  // After a quarantine the endpoint gets one trial request at a time.
   const bool busy_on_trial =
       endpoint.on_trial() &&
       (endpoint.reserved > 0 || endpoint.queued_prompt_tokens > Tokens(0));
@@ -608,9 +619,9 @@
   const int free_slots = slots > 0 ? std::max(0, endpoint.free_slots()) : 0;
   available_slots_ += slots - key.slots;
   available_free_slots_ += free_slots - key.free_slots;
-  const bool moved = key.present != present || key.score != score;
-  if (moved && key.present) index.erase({key.score, endpoint.ordinal});
-  if (moved && present) index.insert({score, endpoint.ordinal});
+  const bool entry_changed = key.present != present || key.score != score;
+  if (entry_changed && key.present) index.erase({key.score, endpoint.ordinal});
+  if (entry_changed && present) index.insert({score, endpoint.ordinal});
   key = {score, present, slots, free_slots};
 }
 
@@ -662,8 +673,8 @@
   for (const ClassTargets& targets : options_.classes) {
     if (targets.id == id) return targets;
   }
-  // Classes that are not configured share one, so that callers can't make the
-  // policy keep state for any number of names.
+  // Unconfigured classes share one entry, so that callers can't make the policy
+  // keep state for an unbounded number of class names.
   ClassTargets targets;
   targets.id = ClassId("default");
   return targets;
--- a/servers/routing/policy_base.h
+++ b/servers/routing/policy_base.h
@@ -172,7 +172,7 @@
   RoutingOptions options_;
   ServiceId service_;
   /// The pool has a prefill engine, or lost its last one less than
-  /// kPrefillAbsence ago. Cleared when an endpoint is next upserted.
+  /// kPrefillAbsenceTimeout ago. Cleared when an endpoint is next upserted.
   bool has_prefill_engines_ = false;
   int prefill_count_ = 0;
   /// When a prefill engine was last removed.
--- a/servers/routing/pool_endpoint.cc
+++ b/servers/routing/pool_endpoint.cc
@@ -1,4 +1,4 @@
-// Quarantine and comparison of lagging load reports with the work placed.
+// Quarantine, and comparison of delayed load reports with the placed work.
 #include "servers/routing/pool_endpoint.h"
 
 #include <algorithm>
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Used when an endpoint announces no rate; the slow end of what engines do.
-constexpr double kDefaultPrefillRate = 5000;
+/// For endpoints that announce no rate; the rate of a slow engine.
+constexpr double kDefaultPrefillTokensPerSecond = 5000;
 
 }  // namespace
 
 Duration PoolEndpoint::PrefillTime(Tokens tokens) const {
   const double rate = info.prefill_tokens_per_second > 0
                           ? info.prefill_tokens_per_second
-                          : kDefaultPrefillRate;
+                          : kDefaultPrefillTokensPerSecond;
   return FromSeconds(static_cast<double>(tokens.value()) / rate);
 }
 
@@ -54,15 +54,17 @@
   untracked_slots_ = 0;
   if (!has_report || now - reported_at > kHistoryBucket * kHistoryBuckets / 2)
     return;
-  const Time written = reported_at - report.age;
-  if (now - written > kHistoryBucket * (kHistoryBuckets - 1)) return;
-  const std::int64_t first = written.time_since_epoch() / kHistoryBucket - 1;
-  int most = held;
+  const Time written_at = reported_at - report.age;
+  if (now - written_at > kHistoryBucket * (kHistoryBuckets - 1)) return;
+  const std::int64_t first_index =
+      written_at.time_since_epoch() / kHistoryBucket - 1;
+  int max_held = held;
   for (const HeldBucket& bucket : held_history_) {
-    if (bucket.index >= first) most = std::max(most, bucket.max_held);
+    if (bucket.index >= first_index)
+      max_held = std::max(max_held, bucket.max_held);
   }
   const int reported = report.running + report.waiting;
-  untracked_slots_ = std::clamp(reported - most, 0, info.slots);
+  untracked_slots_ = std::clamp(reported - max_held, 0, info.slots);
 }
 
 }  // namespace cassiausher
