--- a/tests/routing/limits/limits_test.cc
+++ b/tests/routing/limits/limits_test.cc
@@ -1,4 +1,4 @@
-// Account limits, retry budget and circuit breaker.
+// Account limits, the retry budget and the circuit breaker.
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
@@ -19,9 +19,9 @@
 
 TEST_GROUP(AccountLimits){};
 
-// Guards against an account that exceeds its rate by spreading its calls, and
-// against limits that count once for each instance.
-TEST(AccountLimits, RateIsDividedOverInstances) {
+// Guards against instances that each enforce the whole limit, so that an
+// account exceeds its rate by spreading its calls over them.
+TEST(AccountLimits, RateIsDividedAmongInstances) {
   AccountLimits limits({});
   limits.Configure({{Shop(), {.requests_per_second = 20, .burst = 8}}});
   limits.SetInstances(4);
@@ -33,7 +33,7 @@
     ++admitted;
     CHECK(limits.Release(Shop(), At(ms)));
   }
-  // A burst of 2 and 5 a second for 10 s.
+  // A burst of 2 plus 5 requests per second for 10 s.
   LONGS_EQUAL(52, admitted);
   const LimitDecision refused = limits.Acquire(Shop(), At(10001));
   CHECK(refused.verdict == LimitVerdict::kRate);
@@ -43,8 +43,8 @@
             .verdict == LimitVerdict::kAdmitted);
 }
 
-// Guards against a limit below the number of instances that locks out an
-// account.
+// Guards against locking out an account whose limit is below the number of
+// instances.
 TEST(AccountLimits, ConcurrencyShareIsAtLeastOne) {
   AccountLimits limits({});
   limits.Configure({{Shop(), {.concurrency = 2}}});
@@ -55,8 +55,8 @@
   CHECK(!limits.Release(Shop(), At(1)));
 }
 
-// Guards against one account that fills an instance.
-TEST(AccountLimits, CrowdedInstanceIsSharedByWeight) {
+// Guards against one account that takes the whole capacity of an instance.
+TEST(AccountLimits, InstanceNearCapacityIsSharedByWeight) {
   AccountLimits limits(
       {.default_limit = {.burst = 1000}, .instance_concurrency = 100});
   limits.Configure({{Hall(), {.burst = 1000, .weight = 3}}});
@@ -71,8 +71,9 @@
   CHECK(limits.Acquire(Hall(), At(1)).verdict == LimitVerdict::kInstanceFull);
 }
 
-// Guards against counts that drift apart under any order of calls.
-TEST(AccountLimits, CountsAgreeInRandomisedRuns) {
+// Guards against counts of requests in progress that diverge from the admitted
+// and released requests, for any order of calls.
+TEST(AccountLimits, CountsMatchTheModelInRandomisedRuns) {
   const bool passed = rc::check([](std::vector<std::uint8_t> calls) {
     AccountLimits limits({.default_limit = {.burst = 50, .concurrency = 8},
                           .instance_concurrency = 20});
@@ -101,17 +102,17 @@
 TEST_GROUP(RetryBudget){};
 
 // Guards against retries that multiply the load during an outage.
-TEST(RetryBudget, RetriesStayAShareOfRequests) {
+TEST(RetryBudget, RetriesAreLimitedToAShareOfRequests) {
   RetryBudget budget({});
   int retries = 0;
   for (int ms = 0; ms < 10000; ++ms) {
     budget.OnRequest(At(ms));
     if (budget.TryRetry(At(ms))) ++retries;
   }
-  // A tenth of 10,000 requests and the floor of 10 in the window.
+  // A tenth of 10,000 requests plus floor_per_second times the window of 10 s.
   LONGS_EQUAL(1010, retries);
   CHECK(!budget.TryRetry(At(9999)));
-  // The window passes; the floor alone remains.
+  // After the window has passed, only floor_per_second remains.
   for (int i = 0; i < 10; ++i) CHECK(budget.TryRetry(At(60000)));
   CHECK(!budget.TryRetry(At(60000)));
   CHECK(budget.Remaining(At(75000)) == 10);
@@ -119,9 +120,9 @@
 
 TEST_GROUP(CircuitBreaker){};
 
-// Guards against calls to a failing endpoint, and against many calls at once
-// when it is tried again.
-TEST(CircuitBreaker, OpensTriesAndCloses) {
+// Guards against calls to a failing endpoint, and against concurrent trial
+// calls while half-open.
+TEST(CircuitBreaker, OpensOnFailuresAndClosesAfterTwoTrials) {
   CircuitBreaker breaker({});
   for (int i = 0; i < 5; ++i) {
     CHECK(breaker.Allow(At(0)));
@@ -140,16 +141,16 @@
   CHECK(breaker.state(At(670)) == CircuitState::kClosed);
 }
 
-// Guards against a pause that doesn't grow or has no bound, and against a
-// trial without a result that blocks the endpoint for ever.
-TEST(CircuitBreaker, PauseGrowsUpToItsMaximum) {
+// Guards against a backoff that doesn't grow or is unbounded, and against a
+// trial call without a result that blocks the endpoint forever.
+TEST(CircuitBreaker, BackoffGrowsUpToItsMaximum) {
   CircuitBreaker breaker({.consecutive_failures = 1});
   Time now = At(0);
   breaker.OnFailure(now);
-  Duration last{0};
+  Duration last_backoff{0};
   for (int i = 0; i < 12; ++i) {
-    last = breaker.retry_at() - now;
-    CHECK(last <= Seconds(39));
+    last_backoff = breaker.retry_at() - now;
+    CHECK(last_backoff <= Seconds(39));
     now = breaker.retry_at();
     CHECK(breaker.Allow(now));
     if (i % 2 == 0) {
@@ -159,10 +160,11 @@
       CHECK(!breaker.Allow(now));
     }
   }
-  CHECK(last >= Seconds(21));
+  CHECK(last_backoff >= Seconds(21));
 }
 
-// Guards against an endpoint that fails half of its calls and stays in use.
+// Guards against using an endpoint that fails half of its calls, but never
+// several in a row.
 TEST(CircuitBreaker, OpensOnTheFailureRatio) {
   CircuitBreaker breaker({});
   for (int i = 0; i < 10; ++i) {
--- a/tests/routing/policies_test.cc
+++ b/tests/routing/policies_test.cc
@@ -1,4 +1,4 @@
-// Rules that every routing policy keeps.
+// Invariants and error handling that all routing policies share.
 #include "tests/routing/policy_driver.h"
 
 // CppUTest redefines operator new, so its header comes last.
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr Time kStart{Seconds(100)};
-constexpr const char* kAll[] = {"round_robin", "least_loaded",
-                                "greedy_no_reservation", "reserving"};
+constexpr const char* kPolicies[] = {"round_robin", "least_loaded",
+                                     "greedy_no_reservation", "reserving"};
 
-std::unique_ptr<RoutingPolicy> PoolOf(const std::string& policy) {
+std::unique_ptr<RoutingPolicy> MakePool(const std::string& policy) {
   auto pool = TestPolicies().Create(policy, TestOptions());
   pool->UpsertEndpoint(TestEndpoint("p", EndpointRole::kPrefill), kStart);
   pool->UpsertEndpoint(TestEndpoint("d", EndpointRole::kDecode), kStart);
@@ -32,15 +32,16 @@
   return count;
 }
 
-bool LimitsSlots(const std::string& policy) { return policy == "reserving"; }
+bool EnforcesSlots(const std::string& policy) { return policy == "reserving"; }
 
 void RunSeed(const std::string& policy, std::uint64_t seed, int steps) {
-  PolicyDriver driver(policy, seed, LimitsSlots(policy));
+  PolicyDriver driver(policy, seed, EnforcesSlots(policy));
   driver.Run(steps);
-  driver.Finish();
+  driver.CancelAll();
   CHECK(driver.granted() > 0);
-  for (const std::string& fault : driver.faults()) {
-    FAIL(("policy " + policy + ", seed " + std::to_string(seed) + ": " + fault)
+  for (const std::string& violation : driver.violations()) {
+    FAIL(("policy " + policy + ", seed " + std::to_string(seed) + ": " +
+          violation)
              .c_str());
   }
 }
@@ -49,16 +50,17 @@
 
 TEST_GROUP(Policies){};
 
-// Guards against lost and doubled answers, work on endpoints that may take
-// none, and reservations that are never freed.
+// Guards against missing and duplicate decisions, work placed on endpoints that
+// accept none, and reservations that are never released.
 TEST(Policies, RandomInputsKeepTheInvariants) {
-  for (const char* policy : kAll) {
+  for (const char* policy : kPolicies) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
       RunSeed(policy, seed, 3000);
   }
 }
 
-// The longer run of `make soak SEED=… SECONDS=…`.
+// The same check for as long as `make soak SEED=… SECONDS=…` asks for; without
+// that, the test does nothing.
 TEST(Policies, Soak) {
   const char* seconds = std::getenv("CASSIAUSHER_SOAK_SECONDS");
   if (!seconds) return;
@@ -67,14 +69,15 @@
   const auto end =
       std::chrono::steady_clock::now() + std::chrono::seconds(atoi(seconds));
   while (std::chrono::steady_clock::now() < end) {
-    for (const char* policy : kAll) RunSeed(policy, seed, 20000);
+    for (const char* policy : kPolicies) RunSeed(policy, seed, 20000);
     ++seed;
   }
 }
 
+// Guards against requests of another service that are placed in this pool.
 TEST(Policies, UnknownServiceIsRefused) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     RouteRequest request = TestRequest("q", 1000, kStart);
     request.service = ServiceId("other");
     pool->Admit(request, kStart);
@@ -85,10 +88,10 @@
   }
 }
 
-// Guards against a prompt that no engine can hold waiting for its deadline.
+// Guards against queueing a prompt that fits on no engine until its deadline.
 TEST(Policies, PromptBeyondTheKvCapacityIsRefused) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     pool->Admit(TestRequest("q", 40001, kStart), kStart);
     const auto outputs = pool->TakeOutputs();
     LONGS_EQUAL(1, outputs.size());
@@ -97,10 +100,11 @@
   }
 }
 
-// Guards against engine memory left held when an entry instance dies.
-TEST(Policies, LostEntryIsCancelledAtEveryHolder) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+// Guards against sessions that stay on engines, and keep their memory, after
+// their entry instance has died.
+TEST(Policies, LostEntryInstanceCancelsItsRequestsOnAllEngines) {
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     pool->Admit(TestRequest("q", 1000, kStart), kStart);
     LONGS_EQUAL(1, CountOf<Grant>(pool->TakeOutputs()));
     pool->OnEntryLost(InstanceId("entry"), kStart);
@@ -109,10 +113,11 @@
   }
 }
 
-// Guards against a failing engine that draws in all requests.
-TEST(Policies, RepeatedFailuresQuarantineAndEnd) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+// Guards against a failing engine that attracts all requests, and against a
+// quarantine that never ends.
+TEST(Policies, ThreeFailuresQuarantineEndpointUntilBackoffEnds) {
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     for (int i = 0; i < 3; ++i) {
       const std::string id = "q" + std::to_string(i);
       pool->Admit(TestRequest(id, 1000, kStart), kStart);
@@ -129,19 +134,20 @@
   }
 }
 
-TEST(Policies, UnconfirmedCancelQuarantines) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+// Guards against new work on an engine that may still run cancelled requests.
+TEST(Policies, UnconfirmedCancelQuarantinesEndpoint) {
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     pool->OnCancelUnconfirmed(EndpointId("d"), kStart);
     LONGS_EQUAL(1, CountOf<QuarantineNotice>(pool->TakeOutputs()));
     CHECK(pool->Endpoints(kStart)[0].quarantined);
   }
 }
 
-// Guards against a new owner that grants slots still in use, whichever of the
-// adoption and the announcement arrives first.
-TEST(Policies, AdoptedRequestsHoldTheirSlots) {
-  for (const char* policy : kAll) {
+// Guards against a new owner that grants slots that are still in use, whether
+// the adoption or the endpoint's announcement arrives first.
+TEST(Policies, AdoptedRequestHoldsSlotUntilItFinishes) {
+  for (const char* policy : kPolicies) {
     for (const bool announced_first : {true, false}) {
       auto pool = TestPolicies().Create(policy, TestOptions());
       const EndpointInfo engine = TestEndpoint("d", EndpointRole::kDecode);
@@ -158,11 +164,11 @@
   }
 }
 
-// Guards against long prompts that are refused for ever once the only prefill
-// engine has gone, and against long prompts on decode engines during a restart.
-TEST(Policies, DecodeEnginesPrefillWhenPrefillEnginesStayAway) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+// Guards against refusing long prompts forever after the only prefill engine
+// has gone, and against placing them on decode engines while it restarts.
+TEST(Policies, DecodeEnginesPrefillOnlyAfterPrefillAbsenceTimeout) {
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     pool->RemoveEndpoint(EndpointId("p"), kStart);
     pool->Admit(TestRequest("q", 1000, kStart), kStart);
     LONGS_EQUAL(1, CountOf<RouteRefusal>(pool->TakeOutputs()));
@@ -175,10 +181,10 @@
   }
 }
 
-// Guards against a doubled run when an AdmitRequest is sent again.
-TEST(Policies, RepeatedAdmitGetsTheSamePlace) {
-  for (const char* policy : kAll) {
-    auto pool = PoolOf(policy);
+// Guards against running a request twice when its AdmitRequest is sent again.
+TEST(Policies, RepeatedAdmitGetsSameGrantAndNoSecondSlot) {
+  for (const char* policy : kPolicies) {
+    auto pool = MakePool(policy);
     pool->Admit(TestRequest("q", 1000, kStart), kStart);
     pool->Admit(TestRequest("q", 1000, kStart), kStart);
     const auto outputs = pool->TakeOutputs();
--- a/tests/routing/policy_bench_test.cc
+++ b/tests/routing/policy_bench_test.cc
@@ -1,6 +1,6 @@
-// The figures of the design page, section 5, on short runs of the policy bench.
-// The runs are in virtual time, so that a seed always gives the same result;
-// the time of a decision is real and is not checked here.
+// Checks the targets of the design page, section 5, on short runs of the policy
+// bench. The runs use virtual time, so that a seed always gives the same
+// result; decision times are measured in real time and are not checked here.
 #include <string>
 
 #include "tests/routing/policy_driver.h"
@@ -49,15 +49,17 @@
 
 TEST_GROUP(PolicyBench){};
 
-TEST(PolicyBench, GoodputBelowFullLoad) {
+// Guards against requests that miss their targets although there is capacity.
+TEST(PolicyBench, GoodputMeetsTargetBelowFullLoad) {
   ForEachRun([](const char* deployment, std::uint64_t seed) {
     CHECK(Goodput(RunBench(deployment, 0.8, seed)) >= 0.99);
     CHECK(Goodput(RunBench(deployment, 0.95, seed)) >= 0.95);
   });
 }
 
-// Guards against collapse under overload, and against a starved class.
-TEST(PolicyBench, GoodputOfCapacityUnderOverload) {
+// Guards against congestion collapse under overload, and against starving a
+// class.
+TEST(PolicyBench, GoodputStaysNearCapacityUnderOverload) {
   ForEachRun([](const char* deployment, std::uint64_t seed) {
     for (const double load : {1.5, 3.0}) {
       const BenchResult result = RunBench(deployment, load, seed);
@@ -70,7 +72,8 @@
   });
 }
 
-TEST(PolicyBench, WastedPrefillUnderFaults) {
+// Guards against prefill work whose result is never used.
+TEST(PolicyBench, WastedPrefillStaysLowUnderFaults) {
   ForEachRun([](const char* deployment, std::uint64_t seed) {
     CHECK(Waste(RunBench(deployment, 0.9, seed)) <= 0.01);
     for (const FaultKind fault :
@@ -80,8 +83,8 @@
   });
 }
 
-// Guards against lost and doubled answers and reservations that are left, for
-// the baselines too, as the comparison is only fair if they are sound.
+// Guards against missing and duplicate decisions and leaked reservations, also
+// in the baselines, since a comparison with faulty ones would not be fair.
 TEST(PolicyBench, NoViolationsUnderAnyFault) {
   for (const std::string policy :
        {"round_robin", "least_loaded", "greedy_no_reservation", "reserving"}) {
@@ -94,16 +97,17 @@
   }
 }
 
-TEST(PolicyBench, BetterThanTheBestBaseline) {
+// Guards against a default policy without an advantage over simpler ones.
+TEST(PolicyBench, ReservingPolicyBeatsEveryBaseline) {
   ForEachRun([](const char* deployment, std::uint64_t seed) {
     for (const double load : {0.95, 1.5}) {
-      const BenchResult ours = RunBench(deployment, load, seed);
+      const BenchResult reserving = RunBench(deployment, load, seed);
       for (const std::string baseline :
            {"round_robin", "least_loaded", "greedy_no_reservation"}) {
         const BenchResult other =
             RunBench(deployment, load, seed, FaultKind::kNone, baseline);
-        CHECK(Goodput(ours) > Goodput(other));
-        CHECK(Waste(ours) <= Waste(other) / 2);
+        CHECK(Goodput(reserving) > Goodput(other));
+        CHECK(Waste(reserving) <= Waste(other) / 2);
       }
     }
   });
--- a/tests/routing/policy_driver.cc
+++ b/tests/routing/policy_driver.cc
@@ -1,4 +1,4 @@
-// Random inputs and the model that the outputs are checked against.
+// Random inputs, and the model that the outputs are checked against.
 #include "tests/routing/policy_driver.h"
 
 #include <fmt/format.h>
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr int kEndpoints = 6;
-constexpr int kSlots = 4;
+constexpr int kEndpointCount = 6;
+constexpr int kSlotsPerEndpoint = 4;
 
 }  // namespace
 
@@ -63,32 +63,33 @@
 }
 
 PolicyDriver::PolicyDriver(const std::string& policy, std::uint64_t seed,
-                           bool limit_slots)
+                           bool enforce_slots)
     : random_(seed),
-      limit_slots_(limit_slots),
+      enforce_slots_(enforce_slots),
       policy_(TestPolicies().Create(policy, TestOptions())) {
-  for (int i = 0; i < kEndpoints; ++i) {
+  for (int i = 0; i < kEndpointCount; ++i) {
     const EndpointRole role =
         i < 2 ? EndpointRole::kPrefill : EndpointRole::kDecode;
-    const EndpointInfo info = TestEndpoint(fmt::format("e{}", i), role, kSlots);
+    const EndpointInfo info =
+        TestEndpoint(fmt::format("e{}", i), role, kSlotsPerEndpoint);
     endpoints_[info.id] = info;
     policy_->UpsertEndpoint(info, now_);
   }
 }
 
-void PolicyDriver::Fault(const std::string& text) {
-  faults_.push_back(
+void PolicyDriver::AddViolation(const std::string& text) {
+  violations_.push_back(
       fmt::format("at {} us: {}", now_.time_since_epoch().count(), text));
 }
 
 void PolicyDriver::Run(int steps) {
-  for (int i = 0; i < steps && faults_.empty(); ++i) Step();
+  for (int i = 0; i < steps && violations_.empty(); ++i) Step();
 }
 
 void PolicyDriver::Step() {
   now_ += Duration(static_cast<std::int64_t>(random_.Below(60000)));
   if (policy_->NextWakeup() <= now_) policy_->Tick(now_);
-  Drain();
+  CheckOutputs();
   const std::uint64_t choice = random_.Below(100);
   if (choice < 32) {
     AdmitOne();
@@ -97,18 +98,18 @@
   } else if (choice < 35) {
     AdoptOne();
   } else if (choice < 88) {
-    if (!live_.empty()) Advance(AnyRequest());
+    if (!active_.empty()) AdvanceRequest(RandomRequest());
   } else if (choice < 89) {
-    LoseEntry();
+    LoseEntryInstance();
   } else if (choice < 93) {
     ChangeEndpoint();
   } else {
     SendReport();
   }
-  Drain();
+  CheckOutputs();
   const PolicyCounters counters = policy_->Counters();
   if (counters.violations > 0)
-    Fault("violation: " + std::string(counters.first_violation));
+    AddViolation("violation: " + std::string(counters.first_violation));
 }
 
 void PolicyDriver::AdmitOne() {
@@ -125,18 +126,18 @@
   if (random_.Chance(0.02)) request.prompt_tokens = Tokens(-5);
   if (random_.Chance(0.02)) request.service = ServiceId("unknown");
   if (random_.Chance(0.02)) request.arrived = now_ + Seconds(10);
-  if (random_.Chance(0.1)) request.avoid = {AnyEndpoint()};
-  Live& live = live_[request.id];
-  live.entry = request.entry;
-  live.request = request;
+  if (random_.Chance(0.1)) request.avoid = {RandomEndpoint()};
+  ActiveRequest& active = active_[request.id];
+  active.entry = request.entry;
+  active.request = request;
   policy_->Admit(request, now_);
 }
 
 void PolicyDriver::RepeatAdmit() {
-  if (live_.empty()) return;
-  repeated_ = AnyRequest();
-  policy_->Admit(live_[repeated_].request, now_);
-  Drain();
+  if (active_.empty()) return;
+  repeated_ = RandomRequest();
+  policy_->Admit(active_[repeated_].request, now_);
+  CheckOutputs();
   repeated_ = RequestId();
 }
 
@@ -144,74 +145,77 @@
   AdoptedRequest adopted;
   adopted.request = TestRequest(fmt::format("q{}", next_id_++), 1000, now_);
   adopted.request.entry = InstanceId("i0");
-  adopted.decode = AnyEndpoint();
+  adopted.decode = RandomEndpoint();
   const bool decodes = endpoints_[adopted.decode].role == EndpointRole::kDecode;
-  const bool full = held_[adopted.decode] >= kSlots;
+  const bool full = held_[adopted.decode] >= kSlotsPerEndpoint;
   if (!decodes || full || removed_.contains(adopted.decode)) return;
-  Live& live = live_[adopted.request.id];
-  live.entry = adopted.request.entry;
-  live.stage = RequestStage::kDecode;
-  live.decode = adopted.decode;
-  live.decode_life = lives_[live.decode];
-  live.request = adopted.request;
-  ++held_[live.decode];
+  ActiveRequest& active = active_[adopted.request.id];
+  active.entry = adopted.request.entry;
+  active.stage = RequestStage::kDecode;
+  active.decode = adopted.decode;
+  active.decode_generation = generations_[active.decode];
+  active.request = adopted.request;
+  ++held_[active.decode];
   policy_->Adopt(adopted, now_);
 }
 
-void PolicyDriver::Advance(const RequestId& id) {
-  Live& live = live_[id];
-  const bool dead = live.stage != RequestStage::kQueued &&
-                    lives_[live.decode] != live.decode_life;
-  if (live.stage == RequestStage::kQueued && !random_.Chance(0.1)) return;
-  if (live.stage == RequestStage::kQueued || random_.Chance(0.05)) {
+void PolicyDriver::AdvanceRequest(const RequestId& id) {
+  ActiveRequest& active = active_[id];
+  const bool dead = active.stage != RequestStage::kQueued &&
+                    generations_[active.decode] != active.decode_generation;
+  if (active.stage == RequestStage::kQueued && !random_.Chance(0.1)) return;
+  if (active.stage == RequestStage::kQueued || random_.Chance(0.05)) {
     policy_->OnCancelled(id, now_);
   } else if (dead || random_.Chance(0.05)) {
-    policy_->OnFailed(id, random_.Chance(0.5) ? live.decode : live.prefill,
+    policy_->OnFailed(id, random_.Chance(0.5) ? active.decode : active.prefill,
                       now_);
-  } else if (live.stage == RequestStage::kPrefill && !live.prefill.empty()) {
+  } else if (active.stage == RequestStage::kPrefill &&
+             !active.prefill.empty()) {
     policy_->OnPrefillFinished(id, now_);
-    live.stage = RequestStage::kTransfer;
+    active.stage = RequestStage::kTransfer;
     return;
-  } else if (live.stage != RequestStage::kDecode) {
+  } else if (active.stage != RequestStage::kDecode) {
     policy_->OnFirstToken(id, now_);
-    live.stage = RequestStage::kDecode;
+    active.stage = RequestStage::kDecode;
     return;
   } else {
     policy_->OnFinished(id, Tokens(random_.Below(300)), now_);
   }
-  if (live.stage != RequestStage::kQueued && !dead) --held_[live.decode];
-  live_.erase(id);
-  // Progress that arrives again must change nothing.
+  if (active.stage != RequestStage::kQueued && !dead) --held_[active.decode];
+  active_.erase(id);
+  // Repeated progress must have no effect.
   if (random_.Chance(0.1)) policy_->OnFinished(id, Tokens(1), now_);
 }
 
-void PolicyDriver::LoseEntry() {
+void PolicyDriver::LoseEntryInstance() {
   const InstanceId entry(fmt::format("i{}", random_.Below(3)));
-  for (auto it = live_.begin(); it != live_.end();) {
-    const Live& live = it->second;
-    if (live.entry != entry) {
+  for (auto it = active_.begin(); it != active_.end();) {
+    const ActiveRequest& active = it->second;
+    if (active.entry != entry) {
       ++it;
       continue;
     }
-    if (live.stage != RequestStage::kQueued) {
-      if (lives_[live.decode] == live.decode_life) {
-        expected_cancels_.insert({it->first, live.decode});
-        --held_[live.decode];
+    if (active.stage != RequestStage::kQueued) {
+      if (generations_[active.decode] == active.decode_generation) {
+        expected_cancels_.insert({it->first, active.decode});
+        --held_[active.decode];
       }
-      if (!live.prefill.empty() && lives_[live.prefill] == live.prefill_life) {
-        expected_cancels_.insert({it->first, live.prefill});
+      if (!active.prefill.empty() &&
+          generations_[active.prefill] == active.prefill_generation) {
+        expected_cancels_.insert({it->first, active.prefill});
       }
     }
-    it = live_.erase(it);
+    it = active_.erase(it);
   }
   policy_->OnEntryLost(entry, now_);
-  Drain();
-  if (!expected_cancels_.empty()) Fault("a holder got no cancel order");
+  CheckOutputs();
+  if (!expected_cancels_.empty())
+    AddViolation("no cancel order for an engine that holds the request");
   expected_cancels_.clear();
 }
 
 void PolicyDriver::ChangeEndpoint() {
-  const EndpointId id = AnyEndpoint();
+  const EndpointId id = RandomEndpoint();
   EndpointInfo& info = endpoints_[id];
   const std::uint64_t choice = random_.Below(6);
   if (removed_.contains(id)) {
@@ -219,9 +223,9 @@
     policy_->UpsertEndpoint(info, now_);
   } else if (choice == 4) {
     removed_.insert(id);
-    ++lives_[id];
+    ++generations_[id];
     held_[id] = 0;
-    quarantined_.erase(id);
+    quarantined_until_.erase(id);
     policy_->RemoveEndpoint(id, now_);
   } else if (choice == 5) {
     RoutingOptions options = TestOptions();
@@ -235,9 +239,9 @@
     policy_->UpsertEndpoint(info, now_);
   } else if (choice == 1) {
     info.incarnation = Incarnation(info.incarnation.value() + 1);
-    ++lives_[id];
+    ++generations_[id];
     held_[id] = 0;
-    quarantined_.erase(id);
+    quarantined_until_.erase(id);
     policy_->UpsertEndpoint(info, now_);
   } else if (choice == 2) {
     EndpointInfo old = info;
@@ -250,7 +254,8 @@
 
 void PolicyDriver::SendReport() {
   LoadReport report;
-  report.endpoint = random_.Chance(0.1) ? EndpointId("unknown") : AnyEndpoint();
+  report.endpoint =
+      random_.Chance(0.1) ? EndpointId("unknown") : RandomEndpoint();
   report.incarnation = Incarnation(1 + random_.Below(2));
   report.sequence = random_.Chance(0.2) ? 1 : ++sequence_;
   report.age = Milliseconds(static_cast<std::int64_t>(random_.Below(3000)));
@@ -264,83 +269,90 @@
   policy_->OnCacheEvent(event, now_);
 }
 
-void PolicyDriver::Drain() {
+void PolicyDriver::CheckOutputs() {
   for (const RouteOutput& output : policy_->TakeOutputs()) {
     if (const auto* grant = std::get_if<Grant>(&output)) {
       OnGrant(*grant);
     } else if (const auto* refusal = std::get_if<RouteRefusal>(&output)) {
-      const auto found = live_.find(refusal->request);
-      if (found == live_.end() || found->second.stage != RequestStage::kQueued)
-        Fault("refusal of a request that is not waiting");
-      if (found != live_.end()) live_.erase(found);
+      const auto found = active_.find(refusal->request);
+      if (found == active_.end() ||
+          found->second.stage != RequestStage::kQueued)
+        AddViolation("refusal of a request that is not queued");
+      if (found != active_.end()) active_.erase(found);
     } else if (const auto* cancel = std::get_if<CancelOrder>(&output)) {
       if (expected_cancels_.erase({cancel->request, cancel->endpoint}) == 0)
-        Fault("cancel order for nothing held");
+        AddViolation(
+            "cancel order for a request that the endpoint does not hold");
     } else if (const auto* notice = std::get_if<QuarantineNotice>(&output)) {
-      quarantined_[notice->endpoint] = notice->until;
+      quarantined_until_[notice->endpoint] = notice->until;
     }
   }
 }
 
 void PolicyDriver::OnGrant(const Grant& grant) {
-  const auto found = live_.find(grant.request);
-  const bool again = found != live_.end() && grant.request == repeated_ &&
-                     found->second.stage != RequestStage::kQueued;
-  if (again) {
-    if (grant.decode != found->second.decode) Fault("grant of another place");
+  const auto found = active_.find(grant.request);
+  const bool is_repeat = found != active_.end() && grant.request == repeated_ &&
+                         found->second.stage != RequestStage::kQueued;
+  if (is_repeat) {
+    if (grant.decode != found->second.decode)
+      AddViolation("repeated grant with another decode endpoint");
     return;
   }
-  if (found == live_.end() || found->second.stage != RequestStage::kQueued) {
-    Fault("grant of a request that is not waiting");
+  if (found == active_.end() || found->second.stage != RequestStage::kQueued) {
+    AddViolation("grant of a request that is not queued");
     return;
   }
-  Live& live = found->second;
-  live.stage = RequestStage::kPrefill;
-  live.prefill = grant.prefill;
-  live.decode = grant.decode;
-  live.decode_life = lives_[grant.decode];
-  live.prefill_life = lives_[grant.prefill];
+  ActiveRequest& active = found->second;
+  active.stage = RequestStage::kPrefill;
+  active.prefill = grant.prefill;
+  active.decode = grant.decode;
+  active.decode_generation = generations_[grant.decode];
+  active.prefill_generation = generations_[grant.prefill];
   const int held = ++held_[grant.decode];
-  if (limit_slots_ && held > kSlots) Fault("slots over-committed");
-  if (grant.entry != live.entry) Fault("grant to another entry instance");
-  if (grant.decode_url.empty()) Fault("grant without a decode endpoint");
-  if (grant.prefill_timeout <= Duration(0)) Fault("grant without a timeout");
+  if (enforce_slots_ && held > kSlotsPerEndpoint)
+    AddViolation("slots over-committed");
+  if (grant.entry != active.entry)
+    AddViolation("grant to another entry instance");
+  if (grant.decode_url.empty()) AddViolation("grant without a decode endpoint");
+  if (grant.prefill_timeout <= Duration(0))
+    AddViolation("grant without a timeout");
   for (const EndpointId& id : {grant.prefill, grant.decode}) {
     if (id.empty()) continue;
-    if (removed_.contains(id)) Fault("grant to a dead endpoint");
-    if (endpoints_[id].departing) Fault("grant to a departing endpoint");
-    if (quarantined_.contains(id) && quarantined_[id] > now_)
-      Fault("grant to an endpoint in quarantine");
+    if (removed_.contains(id)) AddViolation("grant to a dead endpoint");
+    if (endpoints_[id].departing) AddViolation("grant to a departing endpoint");
+    if (quarantined_until_.contains(id) && quarantined_until_[id] > now_)
+      AddViolation("grant to an endpoint in quarantine");
   }
 }
 
-void PolicyDriver::Finish() {
-  while (!live_.empty() && faults_.empty()) {
-    const RequestId id = live_.begin()->first;
-    const Live& live = live_.begin()->second;
-    const bool holds = live.stage != RequestStage::kQueued &&
-                       lives_[live.decode] == live.decode_life;
-    if (holds) --held_[live.decode];
-    live_.erase(id);
+void PolicyDriver::CancelAll() {
+  while (!active_.empty() && violations_.empty()) {
+    const RequestId id = active_.begin()->first;
+    const ActiveRequest& active = active_.begin()->second;
+    const bool holds = active.stage != RequestStage::kQueued &&
+                       generations_[active.decode] == active.decode_generation;
+    if (holds) --held_[active.decode];
+    active_.erase(id);
     policy_->OnCancelled(id, now_);
-    Drain();
+    CheckOutputs();
   }
-  if (!policy_->Requests(now_).empty()) Fault("a request is left");
+  if (!policy_->Requests(now_).empty())
+    AddViolation("a request remains after all were cancelled");
   for (const EndpointRow& row : policy_->Endpoints(now_)) {
-    const bool clear = row.running == 0 && row.reserved == 0 &&
-                       row.queued_prompt_tokens == Tokens(0);
-    if (!clear) Fault("work is left on " + row.info.id.value());
+    const bool released = row.running == 0 && row.reserved == 0 &&
+                          row.queued_prompt_tokens == Tokens(0);
+    if (!released) AddViolation("work remains on " + row.info.id.value());
   }
 }
 
-RequestId PolicyDriver::AnyRequest() {
-  auto it = live_.begin();
-  std::advance(it, random_.Below(live_.size()));
+RequestId PolicyDriver::RandomRequest() {
+  auto it = active_.begin();
+  std::advance(it, random_.Below(active_.size()));
   return it->first;
 }
 
-EndpointId PolicyDriver::AnyEndpoint() {
-  return EndpointId(fmt::format("e{}", random_.Below(kEndpoints)));
+EndpointId PolicyDriver::RandomEndpoint() {
+  return EndpointId(fmt::format("e{}", random_.Below(kEndpointCount)));
 }
 
 }  // namespace cassiausher
--- a/tests/routing/policy_driver.h
+++ b/tests/routing/policy_driver.h
@@ -1,5 +1,5 @@
-// Drives a routing policy with random inputs, among them absurd, late and
-// contradictory ones, and checks its outputs against a plain model.
+// Drives a routing policy with random inputs, including out-of-range, stale and
+// contradictory ones, and checks its outputs against a simple model.
 #ifndef TESTS_ROUTING_POLICY_DRIVER_H_
 #define TESTS_ROUTING_POLICY_DRIVER_H_
 
@@ -15,7 +15,7 @@
 
 namespace cassiausher {
 
-/// All policies by name.
+/// A registry with all policies.
 RoutingPolicyRegistry TestPolicies();
 EndpointInfo TestEndpoint(const std::string& name, EndpointRole role,
                           int slots = 4);
@@ -25,59 +25,66 @@
 
 class PolicyDriver {
  public:
-  /// With `limit_slots`, a grant beyond an engine's slots is a fault.
-  PolicyDriver(const std::string& policy, std::uint64_t seed, bool limit_slots);
+  /// With `enforce_slots`, a grant beyond an engine's slots is a violation.
+  PolicyDriver(const std::string& policy, std::uint64_t seed,
+               bool enforce_slots);
 
+  /// Stops at the first violation.
   void Run(int steps);
-  /// Ends all requests; then nothing may be held.
-  void Finish();
-  /// Empty when nothing was wrong.
+  /// Cancels all requests and checks that the policy holds nothing afterwards.
+  void CancelAll();
   std::uint64_t granted() const { return policy_->Counters().granted; }
-  const std::vector<std::string>& faults() const { return faults_; }
+  /// Violations found so far, each with the time at which it was seen.
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  struct Live {
+  /// The model's state of a request that is queued or running.
+  struct ActiveRequest {
     InstanceId entry;
     RequestStage stage = RequestStage::kQueued;
     EndpointId prefill;
     EndpointId decode;
-    std::uint64_t decode_life = 0;
-    std::uint64_t prefill_life = 0;
+    /// Generations of the endpoints when the request was placed.
+    std::uint64_t decode_generation = 0;
+    std::uint64_t prefill_generation = 0;
     RouteRequest request;
   };
 
   void Step();
   void AdmitOne();
-  /// A request whose grant got lost asks again.
+  /// Repeats the Admit call of a request, as after a lost grant.
   void RepeatAdmit();
   void AdoptOne();
-  void Advance(const RequestId& id);
-  void LoseEntry();
+  void AdvanceRequest(const RequestId& id);
+  void LoseEntryInstance();
   void ChangeEndpoint();
   void SendReport();
-  void Drain();
+  /// Takes the policy's outputs and checks each against the model.
+  void CheckOutputs();
   void OnGrant(const Grant& grant);
-  void Fault(const std::string& text);
-  RequestId AnyRequest();
-  EndpointId AnyEndpoint();
+  void AddViolation(const std::string& text);
+  RequestId RandomRequest();
+  EndpointId RandomEndpoint();
 
   Random random_;
-  bool limit_slots_;
+  bool enforce_slots_;
   std::unique_ptr<RoutingPolicy> policy_;
   Time now_{Seconds(100)};
   std::map<EndpointId, EndpointInfo> endpoints_;
-  std::map<EndpointId, std::uint64_t> lives_;
-  std::map<EndpointId, Time> quarantined_;
+  /// Incremented when an endpoint restarts or dies.
+  std::map<EndpointId, std::uint64_t> generations_;
+  std::map<EndpointId, Time> quarantined_until_;
+  /// Decode slots in use by the model.
   std::map<EndpointId, int> held_;
-  std::map<RequestId, Live> live_;
+  std::map<RequestId, ActiveRequest> active_;
   std::set<std::pair<RequestId, EndpointId>> expected_cancels_;
-  /// Endpoints that the policy was told are dead.
+  /// Endpoints removed from the policy.
   std::set<EndpointId> removed_;
-  /// Its grant may come a second time.
+  /// The request of a repeated Admit call, whose grant may be sent again.
   RequestId repeated_;
   std::uint64_t next_id_ = 0;
   std::uint64_t sequence_ = 0;
-  std::vector<std::string> faults_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace cassiausher
--- a/tests/routing/reserving_policy_test.cc
+++ b/tests/routing/reserving_policy_test.cc
@@ -1,4 +1,4 @@
-// The reserving policy and its parts.
+// The reserving policy and its components.
 #include <string>
 #include <vector>
 
@@ -18,7 +18,8 @@
 
 constexpr Time kStart{Seconds(100)};
 
-/// A pool with the reserving policy and short cuts for its inputs.
+/// A reserving policy with one prefill and one decode engine, and helpers for
+/// its inputs and outputs.
 struct Pool {
   explicit Pool(int slots = 4, const RoutingOptions& options = TestOptions())
       : policy(TestPolicies().Create("reserving", options)) {
@@ -33,14 +34,15 @@
     request.account = AccountId(account);
     policy->Admit(request, now);
   }
-  void Fill(int slots) {
+  /// Takes `slots` decode slots with granted requests "fill0", "fill1", ...
+  void FillSlots(int slots) {
     for (int i = 0; i < slots; ++i)
       Admit("fill" + std::to_string(i), 100, "short");
     granted.clear();
-    Take();
+    TakeOutputs();
     granted.clear();
   }
-  void Take() {
+  void TakeOutputs() {
     for (const RouteOutput& output : policy->TakeOutputs()) {
       if (const auto* grant = std::get_if<Grant>(&output))
         granted.push_back(grant->request.value());
@@ -58,31 +60,32 @@
 
 TEST_GROUP(ReservingPolicy){};
 
-// Guards against a caller that waits for its whole target to be refused.
+// Guards against refusing a request only after its first-token target has
+// passed in the queue.
 TEST(ReservingPolicy, RefusesAtOnceWhenTheTargetCannotBeMet) {
   Pool pool(2);
-  pool.Fill(2);
+  pool.FillSlots(2);
   for (int i = 0; i < 50; ++i) pool.Admit("q" + std::to_string(i), 1000);
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(pool.granted.empty());
   CHECK(pool.refused.size() >= 45);
 }
 
-// Guards against head-of-line blocking at the entry queue.
+// Guards against head-of-line blocking of short requests by long ones.
 TEST(ReservingPolicy, ShortClassIsServedBeforeTheLongClass) {
   Pool pool(20);
-  pool.Fill(20);
+  pool.FillSlots(20);
   pool.Admit("long", 1000, "long");
   pool.Admit("short", 100, "short");
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(pool.refused.empty());
   pool.policy->OnFinished(RequestId("fill0"), Tokens(10), kStart);
-  pool.Take();
+  pool.TakeOutputs();
   LONGS_EQUAL(1, pool.granted.size());
   STRCMP_EQUAL("short", pool.granted[0].c_str());
 }
 
-// Guards against a short prompt that waits for the link or a prefill engine.
+// Guards against delaying a short prompt by the link or a prefill engine.
 TEST(ReservingPolicy, ShortPromptIsPrefilledByTheDecodeEngine) {
   Pool pool;
   pool.Admit("short", 100, "short");
@@ -93,60 +96,62 @@
   }
 }
 
-// Guards against one account that fills the queue and crowds out the others.
-TEST(ReservingPolicy, QueueIsSharedAmongAccounts) {
+// Guards against one account that fills the queue and starves the others.
+TEST(ReservingPolicy, LightAccountIsServedWhileHeavyAccountFillsQueue) {
   Pool pool(20);
-  pool.Fill(20);
+  pool.FillSlots(20);
   for (int i = 0; i < 100; ++i)
     pool.Admit("a" + std::to_string(i), 100, "short", "heavy");
   pool.Admit("b", 100, "short", "light");
-  pool.Take();
+  pool.TakeOutputs();
   for (const std::string& id : pool.refused) CHECK(id != "b");
   for (int i = 0; i < 4; ++i) {
     const RequestId id("fill" + std::to_string(i));
     pool.policy->OnFinished(id, Tokens(1), kStart);
   }
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(std::find(pool.granted.begin(), pool.granted.end(), "b") !=
         pool.granted.end());
 }
 
-// Guards against a stream that is cut because its continuation is refused.
+// Guards against cutting off a stream because its continuation on another
+// endpoint is refused.
 TEST(ReservingPolicy, InterruptedRequestIsServedFirstAndNotRefused) {
   Pool pool(20);
-  pool.Fill(20);
+  pool.FillSlots(20);
   pool.Admit("waiting", 100, "short");
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(pool.refused.empty());
   RouteRequest retry = TestRequest("retry", 100, kStart - Seconds(5), "short");
   retry.attempt = 1;
   retry.delivered_tokens = Tokens(7);
   pool.policy->Admit(retry, kStart);
   pool.policy->OnFinished(RequestId("fill0"), Tokens(10), kStart);
-  pool.Take();
+  pool.TakeOutputs();
   LONGS_EQUAL(1, pool.granted.size());
   STRCMP_EQUAL("retry", pool.granted[0].c_str());
 }
 
 // Guards against retries that multiply the load of a failing pool.
-TEST(ReservingPolicy, RetryBudgetEnds) {
+TEST(ReservingPolicy, RetriesBeyondTheBudgetAreRefused) {
   Pool pool(4);
-  int spent = 0;
+  int budget_refusals = 0;
   for (int i = 0; i < 200; ++i) {
     RouteRequest retry = TestRequest("r" + std::to_string(i), 100, kStart);
     retry.attempt = 1;
     pool.policy->Admit(retry, kStart);
     for (const RouteOutput& output : pool.policy->TakeOutputs()) {
       const auto* refusal = std::get_if<RouteRefusal>(&output);
-      if (refusal && refusal->reason == RefusalReason::kRetriesSpent) ++spent;
+      if (refusal && refusal->reason == RefusalReason::kRetriesSpent)
+        ++budget_refusals;
     }
     pool.policy->OnCancelled(retry.id, kStart);
   }
-  CHECK(spent >= 150);
+  CHECK(budget_refusals >= 150);
 }
 
-// Guards against leaked engine sessions that a new grant would wait behind.
-TEST(ReservingPolicy, ReportedWorkOfOthersTakesSlotsUntilItIsGone) {
+// Guards against granting slots that leaked engine sessions still occupy.
+TEST(ReservingPolicy, UntrackedWorkOccupiesSlotsUntilAReportClearsIt) {
   Pool pool(4);
   LoadReport report;
   report.endpoint = EndpointId("d");
@@ -155,39 +160,40 @@
   report.running = 4;
   pool.policy->Report(report, kStart);
   pool.Admit("q", 100, "short");
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(pool.granted.empty());
   report.sequence = 2;
   report.running = 0;
   pool.policy->Report(report, kStart + Milliseconds(10));
-  pool.Take();
+  pool.TakeOutputs();
   pool.Admit("r", 100, "short", "account", kStart + Milliseconds(10));
-  pool.Take();
+  pool.TakeOutputs();
   CHECK(!pool.granted.empty());
 }
 
-// Guards against prefills whose results a stalled link would never take.
+// Guards against prefills whose results would be lost on a stalled link.
 TEST(ReservingPolicy, NoPrefillStartsWhileATransferIsOverdue) {
   RoutingOptions options = TestOptions();
   options.prefill_thrift = 1;
   Pool pool(4, options);
   pool.Admit("q", 1000);
   pool.policy->OnPrefillFinished(RequestId("q"), kStart + Milliseconds(25));
-  pool.Take();
+  pool.TakeOutputs();
   const Time later = kStart + Milliseconds(600);
   pool.Admit("r", 1000, "long", "account", later);
-  pool.Take();
+  pool.TakeOutputs();
   LONGS_EQUAL(1, pool.granted.size());
   pool.policy->OnFirstToken(RequestId("q"), later);
   pool.Admit("s", 1000, "long", "account", later);
-  pool.Take();
+  pool.TakeOutputs();
   LONGS_EQUAL(2, pool.granted.size());
 }
 
 TEST_GROUP(LinkCalendar){};
 
-// Guards against reservations that exceed the rate, or are not given back.
-TEST(LinkCalendar, RandomReservationsBalance) {
+// Guards against reservations that exceed the link rate or are not released in
+// full.
+TEST(LinkCalendar, RandomReservationsStayWithinRateAndAreReleased) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Random random(seed);
     LinkCalendar calendar(1e9);
@@ -207,7 +213,7 @@
         if (planned != Time::max()) CHECK(planned == held.back().end);
         CHECK(held.back().end >= from);
       }
-      // 256 intervals of 10 ms at 1e9 bytes a second.
+      // 256 intervals of 10 ms at 1e9 bytes per second.
       CHECK(calendar.Reserved(now) <= Bytes(2'560'000'000));
     }
     for (const auto& reservation : held) calendar.Release(reservation, now);
@@ -215,6 +221,7 @@
   }
 }
 
+// Guards against planning two transfers on the same link capacity.
 TEST(LinkCalendar, SecondTransferEndsAfterTheFirst) {
   LinkCalendar calendar(1e9);
   calendar.Reserve(Bytes(100'000'000), kStart, kStart);
@@ -225,8 +232,10 @@
 
 TEST_GROUP(ReservingParts){};
 
-// Guards against unbounded state from any number of account names.
-TEST(ReservingParts, FairQueueKeepsOrderAndShares) {
+// Guards against dropping the latest arrival rather than a request of the
+// account that exceeds its share, and against entries left after Serve or
+// Remove.
+TEST(ReservingParts, FairQueueDropsAccountBeyondItsShareFirst) {
   FairQueue queue;
   queue.Push(RequestId("a1"), AccountId("a"), 1, kStart);
   queue.Push(RequestId("a2"), AccountId("a"), 1, kStart);
@@ -240,8 +249,9 @@
   CHECK(queue.empty());
 }
 
-// Guards against cache state that grows, or outlives missed removals.
-TEST(ReservingParts, PrefixIndexIsBoundedAndForgets) {
+// Guards against unbounded growth, and against entries that stay because their
+// removal event was missed.
+TEST(ReservingParts, PrefixIndexIsBoundedAndExpiresEntries) {
   PrefixIndex index;
   for (std::uint64_t hash = 0; hash < 200000; ++hash)
     index.Store(hash, 1, kStart);
@@ -254,7 +264,8 @@
   CHECK(index.Longest({199999}, kStart).empty());
 }
 
-TEST(ReservingParts, OutputQuantileFollowsWhatWasObserved) {
+// Guards against KV cache reservations that don't follow the observed outputs.
+TEST(ReservingParts, OutputQuantileFollowsObservedLengths) {
   ClassStatistics statistics;
   LONGS_EQUAL(500, statistics.OutputQuantile(0.9, Tokens(500)).value());
   for (int i = 1; i <= 1000; ++i)
