--- a/modules/policy_reserving/class_statistics.h
+++ b/modules/policy_reserving/class_statistics.h
@@ -1,5 +1,5 @@
-// What was observed of the requests of one class: output lengths, time in a
-// slot, arrivals.
+// Statistics of the requests of one class: output length, residence time in a
+// slot and arrival rate.
 #ifndef MODULES_POLICY_RESERVING_CLASS_STATISTICS_H_
 #define MODULES_POLICY_RESERVING_CLASS_STATISTICS_H_
 
@@ -11,36 +11,37 @@
 
 namespace cassiausher {
 
-/// Empirical distribution of output lengths in buckets a quarter of an octave
-/// wide, with old observations fading out.
+/// Output lengths are kept in a histogram with buckets a quarter of an octave
+/// wide. The weight of old observations decays.
 class ClassStatistics {
  public:
   void RecordArrival(Time now);
-  /// A request ended after `residence` in its slot.
+  /// Records a request that finished after `residence` in its slot.
   void RecordOutput(Tokens output, Duration residence);
 
-  /// Length that the share `quantile` of outputs does not exceed; `limit` when
-  /// too little was observed.
+  /// Output length at `quantile`, at most `limit` if that is above 0. Returns
+  /// `limit` with fewer than kMinObservations.
   Tokens OutputQuantile(double quantile, Tokens limit) const;
-  /// Mean time in a slot. Before anything is observed, kDefaultResidence.
+  /// Mean residence time in a slot; kDefaultResidence with fewer than
+  /// kMinObservations.
   Duration Residence() const;
-  /// Arrivals a second over the last seconds.
+  /// Arrivals per second, decaying with kArrivalTimeConstantSeconds.
   double ArrivalRate(Time now) const;
 
  private:
   static constexpr int kBucketsPerOctave = 4;
   static constexpr int kBuckets = 20 * kBucketsPerOctave;
   /// All counts are halved at this total, so that the distribution follows a
-  /// change of workload within some hundred requests.
-  static constexpr double kHalveAt = 2000;
-  static constexpr double kFewest = 20;
+  /// change of workload within a few hundred requests.
+  static constexpr double kMaxTotalCount = 2000;
+  static constexpr double kMinObservations = 20;
   static constexpr Duration kDefaultResidence = Seconds(2);
-  static constexpr double kArrivalMemorySeconds = 5;
+  static constexpr double kArrivalTimeConstantSeconds = 5;
 
   std::array<double, kBuckets> counts_{};
-  double total_ = 0;
+  double total_count_ = 0;
   double residence_seconds_ = 0;
-  double arrivals_ = 0;
+  double decayed_arrivals_ = 0;
   Time arrivals_at_{};
 };
 
--- a/modules/policy_reserving/fair_queue.cc
+++ b/modules/policy_reserving/fair_queue.cc
@@ -1,4 +1,4 @@
-// Tags and order of the queue.
+// Tags and ordering of the fair queue.
 #include "modules/policy_reserving/fair_queue.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
     std::erase_if(finish_tags_, [this](const auto& item) {
       return item.second <= virtual_time_;
     });
-    // All accounts are ahead of the virtual time: start a new round for all.
+    // All accounts are ahead of the virtual time: reset the tags of all.
     if (finish_tags_.size() > kMaxAccounts) finish_tags_.clear();
   }
   double& finish = finish_tags_[account];
@@ -20,10 +20,10 @@
 }
 
 void FairQueue::Insert(const RequestId& id, double tag, Time start_by) {
-  const Key key{tag, next_number_++};
+  const Key key{tag, next_sequence_++};
   by_tag_[key] = id;
-  by_start_[{start_by, key.number}] = id;
-  places_[id] = {key, start_by};
+  by_start_[{start_by, key.sequence}] = id;
+  positions_[id] = {key, start_by};
 }
 
 void FairQueue::Push(const RequestId& id, const AccountId& account, double cost,
@@ -31,24 +31,24 @@
   Insert(id, StartTag(account, cost), start_by);
 }
 
-void FairQueue::PushFirst(const RequestId& id, Time start_by) {
+void FairQueue::PushInterrupted(const RequestId& id, Time start_by) {
   Insert(id, 0, start_by);
 }
 
 void FairQueue::Serve(const RequestId& id) {
-  const auto found = places_.find(id);
-  if (found == places_.end()) return;
+  const auto found = positions_.find(id);
+  if (found == positions_.end()) return;
   virtual_time_ = std::max(virtual_time_, found->second.key.tag);
   Remove(id);
 }
 
 void FairQueue::Remove(const RequestId& id) {
-  const auto found = places_.find(id);
-  if (found == places_.end()) return;
-  const Place& place = found->second;
-  by_tag_.erase(place.key);
-  by_start_.erase({place.start_by, place.key.number});
-  places_.erase(found);
+  const auto found = positions_.find(id);
+  if (found == positions_.end()) return;
+  const Position& position = found->second;
+  by_tag_.erase(position.key);
+  by_start_.erase({position.start_by, position.key.sequence});
+  positions_.erase(found);
 }
 
 }  // namespace cassiausher
--- a/modules/policy_reserving/fair_queue.h
+++ b/modules/policy_reserving/fair_queue.h
@@ -1,4 +1,4 @@
-// Queue of one class, shared fairly among client accounts.
+// Queue of one class with fair sharing among client accounts.
 #ifndef MODULES_POLICY_RESERVING_FAIR_QUEUE_H_
 #define MODULES_POLICY_RESERVING_FAIR_QUEUE_H_
 
@@ -14,21 +14,24 @@
 
 namespace cassiausher {
 
-/// Serves by deadline and drops by fair share. Each request is tagged with the
-/// virtual time at which its account has used up the work of its earlier
-/// requests (start-time fair queueing). An account that sends more than its
-/// share gets later tags, and its requests are dropped first; among those kept,
-/// the one that must start first is served first. All operations cost the
-/// logarithm of the length.
+/// Serves requests in the order in which they must start and drops them by fair
+/// share. Each request is tagged with the virtual time at which the work of its
+/// account's earlier requests ends (start-time fair queueing). An account that
+/// sends more than its share gets later tags, and its requests are dropped
+/// first; of those kept, the one that must start first is served first.
+/// Operations take logarithmic time in the length of the queue, except when
+/// expired accounts are erased.
 class FairQueue {
  public:
-  /// `cost` is the slot time that the request is expected to use, in seconds.
+  /// `cost` is the slot time that the request is expected to use, in seconds;
+  /// `start_by` is the latest start that meets its deadline.
   void Push(const RequestId& id, const AccountId& account, double cost,
             Time start_by);
-  /// An interrupted request: it is dropped last.
-  void PushFirst(const RequestId& id, Time start_by);
+  /// Adds a request whose earlier attempt was interrupted; it is dropped last.
+  void PushInterrupted(const RequestId& id, Time start_by);
   void Remove(const RequestId& id);
-  /// Removes a request that is served, which moves the virtual time on.
+  /// Removes a request that is being served and advances the virtual time to
+  /// its tag.
   void Serve(const RequestId& id);
 
   bool empty() const { return by_tag_.empty(); }
@@ -41,26 +44,28 @@
  private:
   struct Key {
     double tag = 0;
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     auto operator<=>(const Key&) const = default;
   };
-  /// Accounts whose tags have been passed by the virtual time are forgotten
-  /// when there are more than this.
+  /// With more accounts than this, those whose tags are not ahead of the
+  /// virtual time are erased.
   static constexpr std::size_t kMaxAccounts = 4096;
 
-  struct Place {
+  struct Position {
     Key key;
     Time start_by{};
   };
 
   void Insert(const RequestId& id, double tag, Time start_by);
+  /// Returns the tag of the account's next request and adds `cost` to the
+  /// account's finish tag.
   double StartTag(const AccountId& account, double cost);
 
   double virtual_time_ = 0;
-  std::uint64_t next_number_ = 0;
+  std::uint64_t next_sequence_ = 0;
   std::map<Key, RequestId> by_tag_;
   std::map<std::pair<Time, std::uint64_t>, RequestId> by_start_;
-  std::unordered_map<RequestId, Place> places_;
+  std::unordered_map<RequestId, Position> positions_;
   std::unordered_map<AccountId, double> finish_tags_;
 };
 
--- a/modules/policy_reserving/prefix_index.cc
+++ b/modules/policy_reserving/prefix_index.cc
@@ -1,4 +1,4 @@
-// Bounded map from prefix hash to engines.
+// Bounded map from prefix hashes to the engines that hold them.
 #include "modules/policy_reserving/prefix_index.h"
 
 #include <algorithm>
@@ -7,25 +7,26 @@
 
 void PrefixIndex::Store(std::uint64_t hash, std::uint64_t endpoint, Time now) {
   const auto [found, added] = holders_.try_emplace(hash);
-  if (added) order_.push_back(hash);
+  if (added) insertion_order_.push_back(hash);
   std::vector<Holder>& holders = found->second;
   for (Holder& holder : holders) {
     if (holder.endpoint != endpoint) continue;
-    holder.confirmed = now;
+    holder.confirmed_at = now;
     return;
   }
-  if (holders.size() >= kHoldersPerPrefix) holders.erase(holders.begin());
+  if (holders.size() >= kMaxHoldersPerPrefix) holders.erase(holders.begin());
   holders.push_back({endpoint, now});
-  while (order_.size() > kMaxPrefixes) {
-    holders_.erase(order_.front());
-    order_.pop_front();
+  while (insertion_order_.size() > kMaxPrefixes) {
+    holders_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
   }
 }
 
 void PrefixIndex::Remove(std::uint64_t hash, std::uint64_t endpoint) {
   const auto found = holders_.find(hash);
   if (found == holders_.end()) return;
-  // The emptied entry stays until it is the oldest, as `order_` names it.
+  // An emptied entry stays until it is the oldest, because `insertion_order_`
+  // still contains it.
   std::erase_if(found->second, [endpoint](const Holder& holder) {
     return holder.endpoint == endpoint;
   });
@@ -39,7 +40,7 @@
     if (found == holders_.end()) continue;
     const Tokens tokens(kShortestTokens << (i - 1));
     for (const Holder& holder : found->second) {
-      if (now - holder.confirmed < kLife)
+      if (now - holder.confirmed_at < kEntryLifetime)
         matches.push_back({holder.endpoint, tokens});
     }
   }
--- a/modules/policy_reserving/reserving_policy.cc
+++ b/modules/policy_reserving/reserving_policy.cc
@@ -8,45 +8,51 @@
 
 namespace {
 
-/// A prompt is sent to a prefill engine when the work before it is at most this
-/// long. More is kept in the queues, where a shorter class can overtake it and
-/// no slot is held for it yet.
-constexpr Duration kPrefillBacklog = Milliseconds(100);
-/// A request that no idle pool could serve in time is due after this many times
-/// its idle time: it is late, but runs.
-constexpr int kRelaxed = 2;
-/// How long a request whose attempt failed may wait for another start.
-constexpr Duration kRecovery = Seconds(10);
-/// Each first attempt adds this share of a retry to the budget.
-constexpr double kRetryShare = 0.1;
-/// Retries beyond one for each slot that the budget can hold; a dead engine
-/// fails all its slots at once.
+/// A prompt is sent to a prefill engine only if the engine's backlog is at most
+/// this long. Further prompts wait in the queues, where a class of higher
+/// priority can overtake them and they hold no slot yet.
+constexpr Duration kMaxPrefillBacklog = Milliseconds(100);
+/// A request that would miss its target even in an idle pool gets this multiple
+/// of its unloaded latency and margin: it is late, but runs.
+constexpr int kRelaxedTargetFactor = 2;
+/// How long a request whose attempt failed may wait for its next start.
+constexpr Duration kRetryWait = Seconds(10);
+/// Retries added to the budget by each first attempt.
+constexpr double kRetriesPerRequest = 0.1;
+/// The retry budget holds at most one retry per slot plus this number, because
+/// a dead engine fails the requests in all its slots at once.
 constexpr double kSpareRetries = 20;
-/// Headroom for shorter classes is at most one slot in this many.
-constexpr int kSlotsPerHeadroom = 20;
-/// A first token that is late by this much is a sign of a stalled link; the
-/// thrifty end of `prefill_thrift` adds nothing, the other end kLateLink.
-constexpr Duration kLateTransfer = Milliseconds(100);
-constexpr Duration kLateLink = Milliseconds(1000);
-/// Waits are taken this much longer than the mean. A request that would just
-/// fit does better in another data centre with a free slot; measured best of
-/// 0.6 to 5 in the policy bench.
-constexpr double kWaitSafety = 1.25;
-/// A longer wait than this is worse than another data centre with free slots.
-constexpr Duration kForwardWait = Milliseconds(20);
-/// Below this arrival rate (1/s) a class gets no headroom.
-constexpr double kFewArrivals = 0.05;
-/// The part of a cached prefix that is counted on, as cache events are late.
+/// The headroom for classes of higher priority is at most one slot in this
+/// many.
+constexpr int kSlotsPerHeadroomSlot = 20;
+/// The link counts as stalled when a first token is overdue by kMinStallDelay
+/// at a `prefill_thrift` of 1, or by kExtraStallDelay more at 0.
+constexpr Duration kMinStallDelay = Milliseconds(100);
+constexpr Duration kExtraStallDelay = Milliseconds(1000);
+/// Factor on the mean expected wait. A request that would barely meet its
+/// target does better in another data centre with a free slot; 1.25 was the
+/// best of 0.6 to 5 in the policy bench.
+constexpr double kWaitSafetyFactor = 1.25;
+/// If the expected wait is longer, another data centre with free slots is the
+/// better choice.
+constexpr Duration kMaxWaitBeforeForwarding = Milliseconds(20);
+/// No headroom is kept below this arrival rate of the classes of higher
+/// priority.
+constexpr double kMinArrivalsPerSecond = 0.05;
+/// Only this fraction (1/divisor) of a cached prefix is counted as saved, as
+/// cache events are delayed.
 constexpr int kCacheCreditDivisor = 2;
-/// Candidates looked at in the index of decode engines, beyond those avoided.
+/// Decode engines considered per placement, in addition to the number of those
+/// that the request avoids.
 constexpr std::size_t kDecodeCandidates = 4;
-/// Share of outputs whose length is covered by the KV cache set aside.
-constexpr double kKvQuantile = 0.9;
-constexpr double kFirstStepSeconds = 0.05;
-constexpr double kErrorWeight = 1.0 / 64;
-constexpr Duration kShortestRetryAfter = Milliseconds(50);
-constexpr Duration kLongestRetryAfter = Seconds(5);
-constexpr Duration kRetryAfterNoEngine = Seconds(1);
+/// Quantile of the output length that the reserved KV cache covers.
+constexpr double kKvOutputQuantile = 0.9;
+constexpr double kInitialFirstStepSeconds = 0.05;
+/// Weight of a new observation in the moving averages.
+constexpr double kSmoothingWeight = 1.0 / 64;
+constexpr Duration kMinRetryAfter = Milliseconds(50);
+constexpr Duration kMaxRetryAfter = Seconds(5);
+constexpr Duration kNoEngineRetryAfter = Seconds(1);
 
 }  // namespace
 
@@ -54,11 +60,11 @@
     : PolicyBase(std::move(options)),
       link_(PolicyBase::options().link_bytes_per_second),
       retry_tokens_(kSpareRetries),
-      step_seconds_(kFirstStepSeconds) {}
+      first_step_seconds_(kInitialFirstStepSeconds) {}
 
 void ReservingPolicy::Reconfigure(const RoutingOptions& options, Time now) {
   link_.SetRate(options.link_bytes_per_second);
-  // A class whose priority changed goes on under a new key.
+  // A class whose priority changed continues under a new key.
   std::erase_if(classes_, [](const auto& item) {
     return item.second.held == 0 && item.second.queue.empty();
   });
@@ -71,9 +77,10 @@
 
 void ReservingPolicy::Place(Request& request, Time now) {
   StateOf(request).statistics.RecordArrival(now);
-  const bool no_prefill = NeedsPrefillEngine(request) && prefills().empty();
-  if (decodes().empty() || no_prefill) {
-    Refuse(request, RefusalReason::kOverloaded, kRetryAfterNoEngine, now);
+  const bool no_prefill_engine =
+      NeedsPrefillEngine(request) && prefills().empty();
+  if (decodes().empty() || no_prefill_engine) {
+    Refuse(request, RefusalReason::kOverloaded, kNoEngineRetryAfter, now);
     return;
   }
   const bool stalled = NeedsPrefillEngine(request) && LinkStalled(now);
@@ -85,9 +92,9 @@
     Refuse(request, RefusalReason::kRetriesSpent, RetryAfter(), now);
     return;
   }
-  request.effective_deadline = DueOf(request, now);
+  request.effective_deadline = EffectiveDeadline(request, now);
   request.admit_by =
-      request.effective_deadline - IdleTime(request) - Margin(request);
+      request.effective_deadline - UnloadedLatency(request) - Margin(request);
   if (request.admit_by < now) {
     Refuse(request, RefusalReason::kOverloaded, RetryAfter(), now);
     return;
@@ -95,13 +102,13 @@
   const RequestId id = request.request.id;
   Enqueue(request, now);
   OnCapacity(now);
-  Trim(now);
+  ShedLateRequests(now);
   const Request* waiting = FindRequest(id);
   const bool queued = waiting && waiting->stage == RequestStage::kQueued;
   if (!queued || !waiting->request.may_forward) return;
   if (waiting->request.attempt == 0 &&
       ExpectedWait(*waiting, StateOf(*waiting).queue.size() - 1, now) >
-          kForwardWait)
+          kMaxWaitBeforeForwarding)
     Refuse(*waiting, RefusalReason::kOverloaded, RetryAfter(), now);
 }
 
@@ -109,7 +116,7 @@
   ClassState& state = StateOf(request);
   const RequestId& id = request.request.id;
   if (request.request.attempt > 0) {
-    state.queue.PushFirst(id, now);
+    state.queue.PushInterrupted(id, now);
   } else {
     const double cost = ToSeconds(state.statistics.Residence());
     state.queue.Push(id, request.request.account, cost, request.admit_by);
@@ -124,7 +131,8 @@
   const RequestId& id = request.request.id;
   if (timers_.erase({request.admit_by, id}) == 0) return;
   queued_prefill_tokens_ -= request.queued_tokens;
-  CheckInvariant(queued_prefill_tokens_ >= Tokens(0), "queued tokens balance");
+  CheckInvariant(queued_prefill_tokens_ >= Tokens(0),
+                 "queued prefill tokens are not negative");
   StateOf(request).queue.Remove(id);
 }
 
@@ -134,23 +142,25 @@
     retry_tokens_ -= 1;
     return true;
   }
-  const double most = kSpareRetries + available_slots();
-  retry_tokens_ = std::min(most, retry_tokens_ + kRetryShare);
+  const double max_tokens = kSpareRetries + available_slots();
+  retry_tokens_ = std::min(max_tokens, retry_tokens_ + kRetriesPerRequest);
   return true;
 }
 
-Time ReservingPolicy::DueOf(const Request& request, Time now) const {
-  const Duration idle = IdleTime(request);
+Time ReservingPolicy::EffectiveDeadline(const Request& request,
+                                        Time now) const {
+  const Duration unloaded = UnloadedLatency(request);
   const Duration target = request.targets.first_token;
   // The request was accepted and a failed attempt has used up its target. It is
-  // answered late rather than cut off.
-  if (request.request.attempt > 0) return now + kRecovery + idle;
-  if (idle + Margin(request) <= target) return request.deadline();
-  return request.request.arrived + kRelaxed * (idle + Margin(request));
+  // answered late rather than aborted.
+  if (request.request.attempt > 0) return now + kRetryWait + unloaded;
+  if (unloaded + Margin(request) <= target) return request.deadline();
+  return request.request.arrived +
+         kRelaxedTargetFactor * (unloaded + Margin(request));
 }
 
-Duration ReservingPolicy::IdleTime(const Request& request) const {
-  Duration time = FromSeconds(step_seconds_);
+Duration ReservingPolicy::UnloadedLatency(const Request& request) const {
+  Duration time = FromSeconds(first_step_seconds_);
   const std::shared_ptr<PoolEndpoint> decode =
       ByOrdinal(decodes().begin()->second);
   if (!NeedsPrefillEngine(request))
@@ -166,16 +176,16 @@
 
 bool ReservingPolicy::LinkStalled(Time now) const {
   if (transfers_due_.empty()) return false;
-  const double patience = 1 - std::clamp(options().prefill_thrift, 0.0, 1.0);
+  const double tolerance = 1 - std::clamp(options().prefill_thrift, 0.0, 1.0);
   const Duration late =
-      kLateTransfer + FromSeconds(ToSeconds(kLateLink) * patience);
+      kMinStallDelay + FromSeconds(ToSeconds(kExtraStallDelay) * tolerance);
   return now > transfers_due_.begin()->first + late;
 }
 
 Duration ReservingPolicy::Margin(const Request& request) const {
-  // A prompt that a decode engine prefills costs little when it is late.
+  // A late prompt wastes little work if a decode engine prefills it.
   if (!NeedsPrefillEngine(request)) return Duration(0);
-  return FromSeconds(2 * options().prefill_thrift * deviation_seconds_);
+  return FromSeconds(2 * options().prefill_thrift * prediction_error_seconds_);
 }
 
 double ReservingPolicy::SlotsFreedPerSecond() const {
@@ -190,7 +200,7 @@
   std::size_t queued = 1;
   for (const auto& [key, state] : classes_) queued += state.queue.size();
   const Duration wait = FromSeconds(static_cast<double>(queued) / freed);
-  return std::clamp(wait, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
 }
 
 int ReservingPolicy::Headroom(const Request& request, Time now) const {
@@ -199,19 +209,20 @@
     if (key.first >= request.targets.priority) break;
     arrivals += state.statistics.ArrivalRate(now);
   }
-  if (arrivals < kFewArrivals) return 0;
+  if (arrivals < kMinArrivalsPerSecond) return 0;
   const double freed = std::max(0.1, SlotsFreedPerSecond());
   const int wanted = static_cast<int>(std::ceil(arrivals / freed));
-  return std::min(wanted, available_slots() / kSlotsPerHeadroom);
+  return std::min(wanted, available_slots() / kSlotsPerHeadroomSlot);
 }
 
 Duration ReservingPolicy::ExpectedWait(const Request& request,
                                        std::size_t ahead, Time now) const {
   const int free = available_free_slots() - Headroom(request, now);
-  const double missing = static_cast<double>(ahead) + 1 - free;
+  const double missing_slots = static_cast<double>(ahead) + 1 - free;
   double wait = 0;
-  if (missing > 0)
-    wait = kWaitSafety * missing / std::max(0.01, SlotsFreedPerSecond());
+  if (missing_slots > 0)
+    wait = kWaitSafetyFactor * missing_slots /
+           std::max(0.01, SlotsFreedPerSecond());
   if (!NeedsPrefillEngine(request) || prefills().empty())
     return FromSeconds(std::min(wait, 3600.0));
   const std::shared_ptr<PoolEndpoint> engine =
@@ -225,7 +236,7 @@
   return FromSeconds(std::min(wait, 3600.0));
 }
 
-void ReservingPolicy::Trim(Time now) {
+void ReservingPolicy::ShedLateRequests(Time now) {
   std::size_t ahead = 0;
   for (auto& [key, state] : classes_) {
     while (!state.queue.empty()) {
@@ -245,7 +256,7 @@
       Request& request = *FindRequest(id);
       const Outcome outcome = TryStart(request, now);
       if (outcome == Outcome::kWait) break;
-      if (outcome == Outcome::kHopeless)
+      if (outcome == Outcome::kInfeasible)
         Refuse(request, RefusalReason::kOverloaded, RetryAfter(), now);
     }
   }
@@ -262,24 +273,24 @@
   } else {
     if (LinkStalled(now)) return Outcome::kWait;
     if (!ChoosePrefill(request, plan, now)) return Outcome::kWait;
-    if (plan.prefill->prefill_busy_until - now > kPrefillBacklog)
+    if (plan.prefill->prefill_busy_until - now > kMaxPrefillBacklog)
       return Outcome::kWait;
     plan.transfer = KvBytes(*plan.decode, request.prompt());
     plan.first_token = link_.EndOf(plan.transfer, plan.prefill_end, now);
-    if (plan.first_token == Time::max()) return Outcome::kHopeless;
+    if (plan.first_token == Time::max()) return Outcome::kInfeasible;
   }
-  plan.first_token += FromSeconds(step_seconds_);
+  plan.first_token += FromSeconds(first_step_seconds_);
   if (plan.first_token + Margin(request) > request.effective_deadline)
-    return Outcome::kHopeless;
+    return Outcome::kInfeasible;
 
   CheckInvariant(plan.decode->held < plan.decode->info.slots,
                  "slots are not over-committed");
   StateOf(request).queue.Serve(request.request.id);
-  Reserved& reserved = reserved_[request.request.id];
-  reserved.predicted_first_token = plan.first_token;
-  reserved.transfer = plan.transfer;
+  RequestReservation& reservation = reservations_[request.request.id];
+  reservation.predicted_first_token = plan.first_token;
+  reservation.transfer = plan.transfer;
   if (plan.prefill) {
-    reserved.link = link_.Reserve(plan.transfer, plan.prefill_end, now);
+    reservation.link = link_.Reserve(plan.transfer, plan.prefill_end, now);
     for (const std::uint64_t hash : request.request.prefix_hashes)
       prefixes_.Store(hash, plan.prefill->ordinal, now);
   }
@@ -307,8 +318,8 @@
                         !engine->on_trial() && !Avoids(request, *engine);
     if (usable) consider(engine, match.tokens);
   }
-  const auto least = FirstAvailable(prefills(), request, now);
-  if (least) consider(least, Tokens(0));
+  const auto least_busy = FirstAvailable(prefills(), request, now);
+  if (least_busy) consider(least_busy, Tokens(0));
   return plan.prefill != nullptr;
 }
 
@@ -324,7 +335,8 @@
     if (!engine->Available(now)) continue;
     const Bytes need = engine->kv_committed + KvNeed(request, *engine);
     const bool bounded = engine->info.kv_capacity > Bytes(0);
-    // An empty engine takes any prompt that fits; the rest is an estimate.
+    // An idle engine takes any prompt that fits, as the output length is only
+    // an estimate.
     if (bounded && engine->held > 0 && need > engine->info.kv_capacity)
       continue;
     if (!Avoids(request, *engine)) return engine;
@@ -344,61 +356,63 @@
       classes_.find({request.targets.priority, request.targets.id});
   Tokens output = request.request.max_output_tokens;
   if (found != classes_.end())
-    output = found->second.statistics.OutputQuantile(kKvQuantile, output);
+    output = found->second.statistics.OutputQuantile(kKvOutputQuantile, output);
   return KvBytes(decode, request.prompt() + output);
 }
 
 void ReservingPolicy::OnBegin(Request& request, Time /*now*/) {
   ++StateOf(request).held;
-  Reserved& reserved = reserved_[request.request.id];
+  RequestReservation& reservation = reservations_[request.request.id];
   if (!request.decode) return;
-  reserved.kv = KvNeed(request, *request.decode);
-  request.decode->kv_committed += reserved.kv;
+  reservation.kv = KvNeed(request, *request.decode);
+  request.decode->kv_committed += reservation.kv;
 }
 
 void ReservingPolicy::OnEnd(const Request& request, Time now) {
   ClassState& state = StateOf(request);
   --state.held;
-  CheckInvariant(state.held >= 0, "slots of a class balance");
-  const auto found = reserved_.find(request.request.id);
-  CheckInvariant(found != reserved_.end(), "one reservation a request");
-  if (found == reserved_.end()) return;
+  CheckInvariant(state.held >= 0, "slots held by a class are not negative");
+  const auto found = reservations_.find(request.request.id);
+  CheckInvariant(found != reservations_.end(), "one reservation per request");
+  if (found == reservations_.end()) return;
   link_.Release(found->second.link, now);
   transfers_due_.erase({found->second.transfer_due, request.request.id});
   if (request.decode) {
     request.decode->kv_committed -= found->second.kv;
     CheckInvariant(request.decode->kv_committed >= Bytes(0),
-                   "KV cache balances");
+                   "committed KV cache is not negative");
   }
-  reserved_.erase(found);
+  reservations_.erase(found);
 }
 
 void ReservingPolicy::OnPrefillDone(Request& request, Time now) {
-  Reserved& reserved = reserved_[request.request.id];
-  if (reserved.transfer == Bytes(0)) return;
-  // The transfer starts now, not when it was predicted to.
-  link_.Release(reserved.link, now);
-  reserved.link = link_.Reserve(reserved.transfer, now, now);
-  reserved.transfer_due = reserved.link.end + FromSeconds(step_seconds_);
-  transfers_due_.insert({reserved.transfer_due, request.request.id});
+  RequestReservation& reservation = reservations_[request.request.id];
+  if (reservation.transfer == Bytes(0)) return;
+  // The transfer starts now rather than at its predicted time.
+  link_.Release(reservation.link, now);
+  reservation.link = link_.Reserve(reservation.transfer, now, now);
+  reservation.transfer_due =
+      reservation.link.end + FromSeconds(first_step_seconds_);
+  transfers_due_.insert({reservation.transfer_due, request.request.id});
 }
 
 void ReservingPolicy::OnFirstOutput(const Request& request, Time now) {
-  Reserved& reserved = reserved_[request.request.id];
-  transfers_due_.erase({reserved.transfer_due, request.request.id});
-  const Time predicted = reserved.predicted_first_token;
+  RequestReservation& reservation = reservations_[request.request.id];
+  transfers_due_.erase({reservation.transfer_due, request.request.id});
+  const Time predicted = reservation.predicted_first_token;
   if (predicted == Time{}) return;
   const double error = std::clamp(ToSeconds(now - predicted), -1.0, 1.0);
   if (request.prefill)
-    deviation_seconds_ += kErrorWeight * (std::abs(error) - deviation_seconds_);
+    prediction_error_seconds_ +=
+        kSmoothingWeight * (std::abs(error) - prediction_error_seconds_);
   const Time transferred =
       request.prefill
-          ? reserved.link.end
+          ? reservation.link.end
           : request.granted + request.decode->PrefillTime(request.prompt());
   const double step = std::clamp(ToSeconds(now - transferred), 0.0, 0.5);
-  step_seconds_ += kErrorWeight * (step - step_seconds_);
-  link_.Release(reserved.link, now);
-  reserved.link = {};
+  first_step_seconds_ += kSmoothingWeight * (step - first_step_seconds_);
+  link_.Release(reservation.link, now);
+  reservation.link = {};
 }
 
 void ReservingPolicy::OnOutput(const Request& request, Tokens output,
