--- a/modules/policy_greedy/greedy_policy.cc
+++ b/modules/policy_greedy/greedy_policy.cc
@@ -1,4 +1,4 @@
-// Choice by what is free at present.
+// Placement by what is currently free.
 #include "modules/policy_greedy/greedy_policy.h"
 
 #include <algorithm>
@@ -9,24 +9,28 @@
 namespace {
 
 constexpr Duration kRetryAfter = Milliseconds(500);
-/// Part of the first-token target that a request may spend in the queue. The
-/// rest is left for another data centre's pool, or for the run itself.
-constexpr int kQueueDivisor = 2;
+/// A request may spend this fraction (1/divisor) of its first-token target in
+/// the queue. The rest is left for another data centre's pool or for its own
+/// execution.
+constexpr int kQueueTimeDivisor = 2;
 
-/// Slots that no request uses at present.
-int FreeNow(const PoolEndpoint& endpoint) {
+/// Slots not in use now, including those granted to requests that are still
+/// with a prefill engine or being transferred.
+int UnusedSlots(const PoolEndpoint& endpoint) {
   return endpoint.free_slots() + endpoint.prefilling_elsewhere;
 }
 
 }  // namespace
 
-Time GreedyPolicy::QueuedUntil(const Request& request) const {
-  return request.request.arrived + request.targets.first_token / kQueueDivisor;
+Time GreedyPolicy::QueueDeadline(const Request& request) const {
+  return request.request.arrived +
+         request.targets.first_token / kQueueTimeDivisor;
 }
 
 void GreedyPolicy::Place(Request& request, Time now) {
-  const bool no_prefill = NeedsPrefillEngine(request) && prefills().empty();
-  if (decodes().empty() || no_prefill || now >= QueuedUntil(request)) {
+  const bool no_prefill_engine =
+      NeedsPrefillEngine(request) && prefills().empty();
+  if (decodes().empty() || no_prefill_engine || now >= QueueDeadline(request)) {
     Refuse(request, RefusalReason::kOverloaded, kRetryAfter, now);
     return;
   }
@@ -42,7 +46,7 @@
   while (!queue_.empty()) {
     Request* request = FindRequest(queue_.front());
     if (request && request->stage == RequestStage::kQueued) {
-      if (now >= QueuedUntil(*request)) {
+      if (now >= QueueDeadline(*request)) {
         Refuse(*request, RefusalReason::kOverloaded, kRetryAfter, now);
       } else if (!TryStart(*request, now)) {
         return;
@@ -61,17 +65,17 @@
   Time due = PolicyBase::NextWakeup();
   if (queue_.empty()) return due;
   const Request* head = FindRequest(queue_.front());
-  return std::min(due, head ? QueuedUntil(*head) : Time::min());
+  return std::min(due, head ? QueueDeadline(*head) : Time::min());
 }
 
 std::int64_t GreedyPolicy::DecodeScore(const PoolEndpoint& endpoint) const {
-  return -FreeNow(endpoint);
+  return -UnusedSlots(endpoint);
 }
 
 bool GreedyPolicy::TryStart(Request& request, Time now) {
   std::shared_ptr<PoolEndpoint> decode =
       FirstAvailable(decodes(), request, now);
-  if (!decode || FreeNow(*decode) <= 0) return false;
+  if (!decode || UnusedSlots(*decode) <= 0) return false;
   std::shared_ptr<PoolEndpoint> prefill;
   if (NeedsPrefillEngine(request)) {
     prefill = FirstAvailable(prefills(), request, now);
--- a/modules/policy_greedy/greedy_policy.h
+++ b/modules/policy_greedy/greedy_policy.h
@@ -1,5 +1,5 @@
-// Baseline with a queue and exact counts of its own work, which chooses each
-// stage by what is free at present and reserves nothing for later stages.
+// Baseline with a queue and exact counts of its own work. It chooses endpoints
+// by what is currently free and reserves nothing for later stages.
 #ifndef MODULES_POLICY_GREEDY_GREEDY_POLICY_H_
 #define MODULES_POLICY_GREEDY_GREEDY_POLICY_H_
 
@@ -9,10 +9,10 @@
 
 namespace cassiausher {
 
-/// One queue in order of arrival. A request starts when a prefill engine is
-/// idle and a decode engine has a slot that no request uses; requests that are
-/// still with a prefill engine or on the link are not counted there. A request
-/// is refused once half its first-token target has passed in the queue.
+/// Requests wait in one FIFO queue. A request starts when a prefill engine is
+/// idle and a decode engine has an unused slot; a request that is still being
+/// prefilled elsewhere or transferred doesn't count as using one. A request is
+/// refused once half its first-token target has passed in the queue.
 class GreedyPolicy : public PolicyBase {
  public:
   using PolicyBase::PolicyBase;
@@ -26,12 +26,13 @@
   std::int64_t DecodeScore(const PoolEndpoint& endpoint) const override;
 
  private:
-  /// End of the time in the queue.
-  Time QueuedUntil(const Request& request) const;
-  /// Returns false if no engine is free.
+  /// When a request that is still queued is refused.
+  Time QueueDeadline(const Request& request) const;
+  /// Grants the request. Returns false if no suitable engines are free.
   bool TryStart(Request& request, Time now);
 
-  /// Ids of requests that have left the queue stay until they reach its head.
+  /// Ids of requests that were freed while queued remain until they reach the
+  /// head.
   std::deque<RequestId> queue_;
 };
 
--- a/modules/policy_least_loaded/least_loaded_policy.cc
+++ b/modules/policy_least_loaded/least_loaded_policy.cc
@@ -1,4 +1,4 @@
-// Choice by the last load report.
+// Placement by the last load report.
 #include "modules/policy_least_loaded/least_loaded_policy.h"
 
 #include <utility>
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Requests in progress for each decode slot before a refusal. Of 1, 1.25 and 2
-/// in the policy bench, 1 gave the best goodput.
-constexpr std::size_t kRequestsPerSlot = 1;
+/// Requests in progress per decode slot above which requests are refused. Of 1,
+/// 1.25 and 2, 1 gave the best goodput in the policy bench.
+constexpr std::size_t kMaxRequestsPerSlot = 1;
 constexpr Duration kRetryAfter = Milliseconds(500);
 
 }  // namespace
@@ -21,8 +21,8 @@
   if (needs_prefill) prefill = FirstAvailable(prefills(), request, now);
   std::shared_ptr<PoolEndpoint> decode =
       FirstAvailable(decodes(), request, now);
-  const bool none = !decode || (needs_prefill && !prefill);
-  if (none || request_count() > slots * kRequestsPerSlot) {
+  const bool no_endpoint = !decode || (needs_prefill && !prefill);
+  if (no_endpoint || request_count() > slots * kMaxRequestsPerSlot) {
     Refuse(request, RefusalReason::kOverloaded, kRetryAfter, now);
     return;
   }
--- a/modules/policy_least_loaded/least_loaded_policy.h
+++ b/modules/policy_least_loaded/least_loaded_policy.h
@@ -1,4 +1,5 @@
-// Baseline that takes the endpoint whose last load report shows the least work.
+// Baseline that chooses the endpoint with the least work in its last load
+// report.
 #ifndef MODULES_POLICY_LEAST_LOADED_LEAST_LOADED_POLICY_H_
 #define MODULES_POLICY_LEAST_LOADED_LEAST_LOADED_POLICY_H_
 
@@ -6,8 +7,8 @@
 
 namespace cassiausher {
 
-/// Grants at once, on the lagged reports alone. Refuses above the same limit as
-/// RoundRobinPolicy.
+/// Grants immediately, using only the delayed load reports. Refuses above the
+/// same limit as RoundRobinPolicy.
 class LeastLoadedPolicy : public PolicyBase {
  public:
   using PolicyBase::PolicyBase;
--- a/modules/policy_round_robin/round_robin_policy.cc
+++ b/modules/policy_round_robin/round_robin_policy.cc
@@ -1,4 +1,4 @@
-// Choice in turn.
+// Placement in turn.
 #include "modules/policy_round_robin/round_robin_policy.h"
 
 #include <utility>
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Requests in progress for each decode slot before a refusal. Of 1, 1.25 and 2
-/// in the policy bench, 1 gave the best goodput.
-constexpr std::size_t kRequestsPerSlot = 1;
+/// Requests in progress per decode slot above which requests are refused. Of 1,
+/// 1.25 and 2, 1 gave the best goodput in the policy bench.
+constexpr std::size_t kMaxRequestsPerSlot = 1;
 constexpr Duration kRetryAfter = Milliseconds(500);
 
 }  // namespace
@@ -17,8 +17,9 @@
 void RoundRobinPolicy::Place(Request& request, Time now) {
   const auto slots = static_cast<std::size_t>(available_slots());
   const bool needs_prefill = NeedsPrefillEngine(request);
-  const bool none = decodes().empty() || (needs_prefill && prefills().empty());
-  if (none || request_count() > slots * kRequestsPerSlot) {
+  const bool no_endpoint =
+      decodes().empty() || (needs_prefill && prefills().empty());
+  if (no_endpoint || request_count() > slots * kMaxRequestsPerSlot) {
     Refuse(request, RefusalReason::kOverloaded, kRetryAfter, now);
     return;
   }
@@ -31,13 +32,13 @@
 std::shared_ptr<PoolEndpoint> RoundRobinPolicy::Next(
     const EndpointIndex& index, const Request& request,
     std::uint64_t& last) const {
-  auto place = index.upper_bound({0, last});
+  auto it = index.upper_bound({0, last});
   for (std::size_t tried = 0; tried < index.size(); ++tried) {
-    if (place == index.end()) place = index.begin();
-    last = place->second;
+    if (it == index.end()) it = index.begin();
+    last = it->second;
     const std::shared_ptr<PoolEndpoint> endpoint = ByOrdinal(last);
     if (!Avoids(request, *endpoint)) return endpoint;
-    ++place;
+    ++it;
   }
   return ByOrdinal(last);
 }
--- a/servers/routing/pool_endpoint.h
+++ b/servers/routing/pool_endpoint.h
@@ -29,7 +29,7 @@
   int held = 0;
   /// Of those in `held`, the ones without a first token yet.
   int reserved = 0;
-  /// Of those in `reserved`, the ones that a prefill engine prefills.
+  /// Of those in `reserved`, the ones with a separate prefill engine.
   int prefilling_elsewhere = 0;
   /// Prompt tokens granted to this endpoint whose prefill has not finished.
   /// Never negative.
