--- a/servers/routing/account_limits.cc
+++ b/servers/routing/account_limits.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-// A weight of 0 would leave an account without any share.
-constexpr double kWeightMinimum = 1e-3;
-constexpr double kRateMinimum = 1e-6;
+// A weight of 0 would leave an account without any fair share.
+constexpr double kMinWeight = 1e-3;
+// Keeps the time until the next token finite.
+constexpr double kMinRequestsPerSecond = 1e-6;
 
 double WeightOf(const AccountLimit& limit) {
-  return std::max(limit.weight, kWeightMinimum);
+  return std::max(limit.weight, kMinWeight);
 }
 
 }  // namespace
@@ -41,7 +42,8 @@
 }
 
 double AccountLimits::RateShare(const AccountLimit& limit) const {
-  return std::max(limit.requests_per_second / instances_, kRateMinimum);
+  return std::max(limit.requests_per_second / instances_,
+                  kMinRequestsPerSecond);
 }
 
 double AccountLimits::BurstShare(const AccountLimit& limit) const {
@@ -56,21 +58,22 @@
          (weight + std::max(0.0, others));
 }
 
-AccountLimits::Usage* AccountLimits::Find(const AccountId& account, Time now) {
+AccountLimits::Usage* AccountLimits::FindOrAddUsage(const AccountId& account,
+                                                    Time now) {
   const auto found = usage_.find(account);
   if (found != usage_.end()) return &found->second;
-  if (usage_.size() >= options_.accounts_maximum) Forget(now);
-  if (usage_.size() >= options_.accounts_maximum) return nullptr;
+  if (usage_.size() >= options_.max_accounts) RemoveIdleAccounts(now);
+  if (usage_.size() >= options_.max_accounts) return nullptr;
   Usage& usage = usage_[account];
   usage.tokens = BurstShare(LimitOf(account));
-  usage.refilled = now;
+  usage.refilled_at = now;
   return &usage;
 }
 
-void AccountLimits::Forget(Time now) {
+void AccountLimits::RemoveIdleAccounts(Time now) {
   std::erase_if(usage_, [&](const auto& entry) {
     return entry.second.in_progress == 0 &&
-           now - entry.second.refilled >= options_.forget_after;
+           now - entry.second.refilled_at >= options_.idle_expiry;
   });
 }
 
@@ -78,28 +81,30 @@
   if (in_progress_ >= options_.instance_concurrency) {
     return {LimitVerdict::kInstanceFull, options_.concurrency_retry_after};
   }
-  Usage* usage = Find(account, now);
+  Usage* usage = FindOrAddUsage(account, now);
   if (usage == nullptr) {
     return {LimitVerdict::kInstanceFull, options_.concurrency_retry_after};
   }
   const AccountLimit& limit = LimitOf(account);
   const double rate = RateShare(limit);
-  const double elapsed = std::max(0.0, ToSeconds(now - usage->refilled));
+  const double elapsed = std::max(0.0, ToSeconds(now - usage->refilled_at));
   usage->tokens = std::min(BurstShare(limit), usage->tokens + elapsed * rate);
-  usage->refilled = std::max(usage->refilled, now);
+  usage->refilled_at = std::max(usage->refilled_at, now);
   if (usage->in_progress >= ConcurrencyShare(limit)) {
     return {LimitVerdict::kConcurrency, options_.concurrency_retry_after};
   }
-  const bool crowded =
-      in_progress_ >= options_.fair_share_from * options_.instance_concurrency;
-  if (crowded && usage->in_progress + 1 > std::max(1.0, FairShare(account))) {
+  const bool near_capacity = in_progress_ >= options_.fair_share_threshold *
+                                                 options_.instance_concurrency;
+  if (near_capacity &&
+      usage->in_progress + 1 > std::max(1.0, FairShare(account))) {
     return {LimitVerdict::kFairShare, options_.concurrency_retry_after};
   }
-  // Last, so that a request refused for another reason costs no token.
+  // Checked last, so that a request refused for another reason takes no token.
   if (usage->tokens < 1) {
-    const double wait = (1 - usage->tokens) / rate;
-    return {LimitVerdict::kRate,
-            std::min(FromSeconds(std::min(wait, 3600.0)), Seconds(3600))};
+    const double wait_seconds = (1 - usage->tokens) / rate;
+    return {
+        LimitVerdict::kRate,
+        std::min(FromSeconds(std::min(wait_seconds, 3600.0)), Seconds(3600))};
   }
   usage->tokens -= 1;
   if (usage->in_progress == 0) active_weight_ += WeightOf(limit);
