--- a/main/pool_service.cc
+++ b/main/pool_service.cc
@@ -166,7 +166,7 @@
 }
 
 bool PoolService::HandedOver(Time now) const {
-  return ownership_.HoldsNothing(now) || ownership_.HandoverImpossible();
+  return ownership_.HoldsNoPools(now) || ownership_.HandoverImpossible();
 }
 
 void PoolService::TellServing(const PoolAddress& pool) {
--- a/servers/ownership/ownership.cc
+++ b/servers/ownership/ownership.cc
@@ -777,7 +777,7 @@
   return pool.held;
 }
 
-bool Ownership::HoldsNothing(Time now) const {
+bool Ownership::HoldsNoPools(Time now) const {
   return std::none_of(pools_.begin(), pools_.end(), [&](const auto& entry) {
     return HeldEpoch(entry.first, now);
   });
--- a/servers/ownership/ownership.h
+++ b/servers/ownership/ownership.h
@@ -139,7 +139,7 @@
   /// action: a lease may run out between two ticks.
   std::optional<Epoch> HeldEpoch(const ServiceId& service, Time now) const;
   /// True if no pool is held any more.
-  bool HoldsNothing(Time now) const;
+  bool HoldsNoPools(Time now) const;
   /// True if no other instance can take a pool.
   bool HandoverImpossible() const;
   /// Where to send requests; empty if not known.
--- a/tests/ownership/ownership_test.cc
+++ b/tests/ownership/ownership_test.cc
@@ -89,7 +89,7 @@
       }
     }
     longest = std::max(longest, gap);
-    CHECK(deployment.At(old).HoldsNothing(deployment.cluster.now));
+    CHECK(deployment.At(old).HoldsNoPools(deployment.cluster.now));
     CHECK(deployment.Holder(Home(), UnfencedService()) != old);
     CheckNoViolation(deployment);
   }
