--- a/main/control_task.cc
+++ b/main/control_task.cc
@@ -216,7 +216,7 @@
       }
       return;
     }
-    case MembershipEventKind::kPayload:
+    case MembershipEventKind::kPayloadChanged:
       return;
     case MembershipEventKind::kLeft:
     case MembershipEventKind::kDead:
--- a/servers/membership/membership.cc
+++ b/servers/membership/membership.cc
@@ -510,8 +510,8 @@
     updated.payload = incoming.payload;
     table_.Put(std::move(updated));
     Announce(incoming.id, false, now);
-    Report(MembershipEventKind::kPayload, incoming.id, incoming.data_centre,
-           now);
+    Report(MembershipEventKind::kPayloadChanged, incoming.id,
+           incoming.data_centre, now);
     known = table_.Find(incoming.id);
   }
   if (incoming.state == MemberState::kSuspect) {
@@ -579,7 +579,7 @@
     Report(MembershipEventKind::kRestarted, id, data_centre, now);
   }
   if (payload_changed) {
-    Report(MembershipEventKind::kPayload, id, data_centre, now);
+    Report(MembershipEventKind::kPayloadChanged, id, data_centre, now);
   }
   if (state == before.state) return;
   if (state == MemberState::kAlive) {
--- a/servers/membership/membership.h
+++ b/servers/membership/membership.h
@@ -102,7 +102,7 @@
   /// The member runs again with no memory of its earlier run.
   kRestarted,
   /// The member's payload changed.
-  kPayload,
+  kPayloadChanged,
   kDataCentreUnreachable,
   kDataCentreReachable,
 };
