--- a/tests/membership/cluster.cc
+++ b/tests/membership/cluster.cc
@@ -18,7 +18,7 @@
       node.data_centre = DataCentreId("centre-" + std::to_string(dc));
       by_address_[address] = id;
       // One seed in each data centre.
-      if (i == 0) base.seeds.push_back({InstanceId(), address});
+      if (i == 0) base_options.seeds.push_back({InstanceId(), address});
     }
   }
 }
@@ -28,7 +28,7 @@
   // Restarts come with a higher incarnation, as from a clock in milliseconds.
   node.incarnation = std::max<std::uint64_t>(
       node.incarnation + 1, now.time_since_epoch().count() / 1000);
-  MembershipOptions options = base;
+  MembershipOptions options = base_options;
   options.self = id;
   options.data_centre = node.data_centre;
   for (const auto& [address, owner] : by_address_) {
@@ -100,15 +100,15 @@
 void Cluster::Transmit(Node& from, const MembershipSend& send) {
   // Independent check of the byte budget: a leaky bucket at the stated rate
   // must never rise above the stated burst.
-  const double rate = static_cast<double>(base.bytes_per_second);
+  const double rate = static_cast<double>(base_options.bytes_per_second);
   from.budget_level =
       std::max(0.0, from.budget_level - ToSeconds(now - from.budget_at) * rate);
   from.budget_at = now;
   from.budget_level += static_cast<double>(send.message.ByteSizeLong());
-  if (from.budget_level > static_cast<double>(base.burst_bytes) + 1) {
+  if (from.budget_level > static_cast<double>(base_options.burst_bytes) + 1) {
     from.budget_exceeded = true;
   }
-  if (send.message.ByteSizeLong() > base.message_bytes) {
+  if (send.message.ByteSizeLong() > base_options.message_bytes) {
     from.budget_exceeded = true;
   }
   InstanceId to = send.to;
@@ -126,8 +126,8 @@
 void Cluster::Deliver(const InstanceId& from, const InstanceId& to,
                       const std::function<void()>& receive) {
   if (network.cut.count({from, to}) > 0) return;
-  if (random.Chance(network.loss)) return;
-  const int copies = random.Chance(network.repeat) ? 2 : 1;
+  if (random.Chance(network.loss_rate)) return;
+  const int copies = random.Chance(network.duplicate_rate) ? 2 : 1;
   const auto span = (network.delay_maximum - network.delay_minimum).count();
   for (int i = 0; i < copies; ++i) {
     const Duration delay =
@@ -177,7 +177,8 @@
   }
 }
 
-std::set<InstanceId> Cluster::In(const DataCentreId& data_centre) const {
+std::set<InstanceId> Cluster::InstancesIn(
+    const DataCentreId& data_centre) const {
   std::set<InstanceId> ids;
   for (const auto& [id, node] : nodes) {
     if (node.data_centre == data_centre) ids.insert(id);
--- a/tests/membership/cluster.h
+++ b/tests/membership/cluster.h
@@ -20,8 +20,8 @@
 struct Network {
   Duration delay_minimum = Duration(200);
   Duration delay_maximum = Milliseconds(2);
-  double loss = 0;
-  double repeat = 0;
+  double loss_rate = 0;
+  double duplicate_rate = 0;
   /// Directed pairs of instances whose messages are dropped.
   std::set<std::pair<InstanceId, InstanceId>> cut;
 };
@@ -66,13 +66,13 @@
   /// True if every running instance sees exactly the running ones as live,
   /// none of them as dead, and every data centre as reachable.
   bool Converged() const;
-  std::set<InstanceId> In(const DataCentreId& data_centre) const;
+  std::set<InstanceId> InstancesIn(const DataCentreId& data_centre) const;
   MemberState StateAt(const InstanceId& observer, const InstanceId& member);
   Membership& At(const InstanceId& id) { return *nodes.at(id).membership; }
 
   Time now{};
   Network network;
-  MembershipOptions base;
+  MembershipOptions base_options;
   std::map<InstanceId, Node> nodes;
   Random random;
   /// Called after every step of a node, for layers above membership.
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -173,7 +173,7 @@
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(30)));
   const DataCentreId away("centre-2");
-  const std::set<InstanceId> inside = cluster.In(away);
+  const std::set<InstanceId> inside = cluster.InstancesIn(away);
   std::set<InstanceId> outside;
   for (auto& [id, node] : cluster.nodes) {
     if (inside.count(id) == 0) outside.insert(id);
@@ -212,7 +212,7 @@
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(60)));
   std::set<InstanceId> halves[2];
-  for (const InstanceId& id : cluster.In(DataCentreId("centre-0"))) {
+  for (const InstanceId& id : cluster.InstancesIn(DataCentreId("centre-0"))) {
     halves[halves[0].size() > halves[1].size()].insert(id);
   }
   cluster.Cut(halves[0], halves[1], true);
--- a/tests/ownership/ownership_cluster.cc
+++ b/tests/ownership/ownership_cluster.cc
@@ -26,7 +26,7 @@
                            .random_seed = cluster.random.Below(1u << 30)};
   options.epoch_base = static_cast<std::uint64_t>(
       cluster.now.time_since_epoch() / Milliseconds(100));
-  options.voters = cluster.In(node.data_centre);
+  options.voters = cluster.InstancesIn(node.data_centre);
   std::set<InstanceId> elsewhere;
   for (const auto& [other, instance] : cluster.nodes) {
     if (options.voters.count(other) == 0) elsewhere.insert(other);
--- a/tests/ownership/ownership_test.cc
+++ b/tests/ownership/ownership_test.cc
@@ -144,7 +144,7 @@
   OwnershipCluster deployment({2, 2, 2}, 9);
   deployment.StartAll();
   CHECK(deployment.RunUntilSettled(Seconds(20)));
-  const std::set<InstanceId> inside = deployment.cluster.In(Home());
+  const std::set<InstanceId> inside = deployment.cluster.InstancesIn(Home());
   std::set<InstanceId> outside;
   for (const auto& [id, node] : deployment.cluster.nodes) {
     if (inside.count(id) == 0) outside.insert(id);
--- a/tests/ownership/randomised_test.cc
+++ b/tests/ownership/randomised_test.cc
@@ -132,8 +132,9 @@
         deployment_.ownerships.erase(id);
         return cluster.Leave(id);
       case 8:
-        cluster.network.loss = random_.Chance(0.5) ? 0 : random_.Unit() * 0.3;
-        cluster.network.repeat = random_.Unit() * 0.2;
+        cluster.network.loss_rate =
+            random_.Chance(0.5) ? 0 : random_.Unit() * 0.3;
+        cluster.network.duplicate_rate = random_.Unit() * 0.2;
         return;
       default:
         cluster.network.delay_maximum =
