--- a/servers/membership/member_table.cc
+++ b/servers/membership/member_table.cc
@@ -32,8 +32,8 @@
       HashText(member.id.value(), HashText(member.data_centre.value(), 0));
   auto [place, inserted] = members_.try_emplace(member.id);
   const bool was_live = !inserted && place->second.live();
-  if (was_live) Toggle(place->second, false);
-  if (member.live()) Toggle(member, true);
+  if (was_live) UpdateRoster(place->second, false);
+  if (member.live()) UpdateRoster(member, true);
   const bool moved = place->second.data_centre != member.data_centre;
   if (was_live != member.live() || moved) ++live_version_;
   place->second = std::move(member);
@@ -43,13 +43,13 @@
   const auto found = members_.find(id);
   if (found == members_.end()) return;
   if (found->second.live()) {
-    Toggle(found->second, false);
+    UpdateRoster(found->second, false);
     ++live_version_;
   }
   members_.erase(found);
 }
 
-void MemberTable::Toggle(const Member& member, bool added) {
+void MemberTable::UpdateRoster(const Member& member, bool added) {
   const std::uint64_t hash = RosterHash(member);
   Roster& roster = rosters_[member.data_centre];
   hash_ ^= hash;
--- a/servers/membership/membership.cc
+++ b/servers/membership/membership.cc
@@ -28,7 +28,7 @@
 // Bytes that a repeated field adds to a record: tag and length.
 constexpr std::size_t kRecordOverhead = 3;
 constexpr std::size_t kRecordBytesMinimum = 20;
-// A relayed probe must end before the asker's own timeout.
+// A relayed probe must end before the requester's own timeout.
 constexpr double kRelayedShare = 0.6;
 constexpr double kJoinedReconnectShare = 0.25;
 constexpr int kSyncReserveDivisor = 2;
@@ -68,16 +68,16 @@
       random_(options_.random_seed ^ HashText(options_.self.value(), 7)),
       deployment_hash_(ShortHash(options_.deployment)),
       self_hash_(ShortHash(options_.self.value())),
-      next_round_(now +
-                  Duration(random_.Below(options_.probe_interval.count()))),
-      next_cross_(
+      next_probe_round_(
+          now + Duration(random_.Below(options_.probe_interval.count()))),
+      next_cross_probe_(
           now + Duration(random_.Below(options_.cross_probe_interval.count()))),
       next_reconnect_(now),
       next_reclaim_(now + Seconds(1)),
       next_sync_(now),
       last_seen_(now),
-      budget_(static_cast<double>(options_.burst_bytes)),
-      budget_at_(now) {
+      budget_bytes_(static_cast<double>(options_.burst_bytes)),
+      budget_updated_(now) {
   table_.Put({.id = options_.self,
               .data_centre = options_.data_centre,
               .address = options_.address,
@@ -94,7 +94,7 @@
 
 // Input.
 
-bool Membership::Wellformed(const MemberRecord& record) const {
+bool Membership::IsWellFormed(const MemberRecord& record) const {
   const std::size_t limit = options_.name_bytes_maximum;
   if (record.name().empty() || record.name().size() > limit) return false;
   if (record.data_centre().size() > limit) return false;
@@ -116,7 +116,7 @@
   return PayloadBytes(PayloadOf(record)) <= options_.payload_bytes_maximum;
 }
 
-bool Membership::Wellformed(const Message& message) const {
+bool Membership::IsWellFormed(const Message& message) const {
   if (message.kind() <= Message::UNKNOWN) return false;
   if (message.kind() > Message::PUSH) return false;
   if (message.sender().empty() || !Printable(message.sender())) return false;
@@ -132,24 +132,26 @@
     return false;
   }
   if (message.has_self()) {
-    if (!Wellformed(message.self())) return false;
+    if (!IsWellFormed(message.self())) return false;
     if (message.self().name() != message.sender()) return false;
     if (message.self().data_centre().empty()) return false;
     if (message.self().address().empty()) return false;
     if (StateOf(message.self()) != MemberState::kAlive) return false;
   }
-  return std::all_of(message.records().begin(), message.records().end(),
-                     [this](const auto& record) { return Wellformed(record); });
+  return std::all_of(
+      message.records().begin(), message.records().end(),
+      [this](const auto& record) { return IsWellFormed(record); });
 }
 
-bool Membership::Admissible(const Message& message) {
+bool Membership::AcceptMessage(const Message& message) {
   if (message.deployment() != deployment_hash_ ||
       (message.target() != 0 && message.target() != self_hash_) ||
       message.sender() == options_.self.value()) {
     ++counters_.foreign;
     return false;
   }
-  if (message.ByteSizeLong() > options_.message_bytes || !Wellformed(message)) {
+  if (message.ByteSizeLong() > options_.message_bytes ||
+      !IsWellFormed(message)) {
     ++counters_.malformed;
     return false;
   }
@@ -171,10 +173,10 @@
     ++counters_.stale;
     return false;
   }
-  return Fresh(message);
+  return AcceptSequence(message);
 }
 
-bool Membership::Fresh(const Message& message) {
+bool Membership::AcceptSequence(const Message& message) {
   Peer& peer = peers_[InstanceId(message.sender())];
   if (message.incarnation() < peer.incarnation) {
     ++counters_.stale;
@@ -204,19 +206,20 @@
 }
 
 void Membership::OnMessage(const Message& message, Time now) {
-  if (left_) return;
-  NoteTime(now);
+  if (has_left_) return;
+  DetectPause(now);
   counters_.bytes_received += message.ByteSizeLong();
-  if (!Admissible(message)) return;
+  if (!AcceptMessage(message)) return;
   const InstanceId sender(message.sender());
   if (message.has_self()) Merge(message.self(), DataCentreId(), now);
   const Member* known = table_.Find(sender);
   if (known == nullptr) return;
-  const DataCentreId sender_dc = known->data_centre;
+  const DataCentreId sender_data_centre = known->data_centre;
   if (message.kind() != Message::SYNC_REPLY) {
-    for (const auto& record : message.records()) Merge(record, sender_dc, now);
+    for (const auto& record : message.records())
+      Merge(record, sender_data_centre, now);
   }
-  if (sender_dc == options_.data_centre) MergeLinks(message, now);
+  if (sender_data_centre == options_.data_centre) MergeLinks(message, now);
   switch (message.kind()) {
     case Message::PING:
       return OnPing(message, now);
@@ -241,7 +244,7 @@
   const InstanceId sender(message.sender());
   Message ack = NewMessage(Message::ACK);
   ack.set_probe(message.probe());
-  const bool budget_left = Available(now) > options_.probe_reserve_bytes;
+  const bool budget_left = AvailableBudget(now) > options_.probe_reserve_bytes;
   if (message.roster_hash() != table_.hash() && budget_left) {
     AttachDigests(&ack);
   }
@@ -253,8 +256,8 @@
 void Membership::OnAck(const Message& message, Time now) {
   const InstanceId sender(message.sender());
   const auto found = probes_.find(message.probe());
-  const bool cross =
-      found != probes_.end() && found->second.kind == ProbeKind::kCross;
+  const bool cross = found != probes_.end() &&
+                     found->second.kind == ProbeKind::kCrossDataCentre;
   // A representative fetches for its whole data centre, so comparisons with
   // the others don't wait for those at home.
   if (cross || now >= next_sync_) CompareRosters(message, now);
@@ -275,15 +278,15 @@
   if (probe.kind == ProbeKind::kDirect && health_score_ > 0) --health_score_;
   if (probe.kind == ProbeKind::kRelayed) {
     Message answer = NewMessage(Message::ACK);
-    answer.set_probe(probe.asker_probe);
+    answer.set_probe(probe.requester_probe);
     answer.set_subject(probe.target.value());
-    SendTo(probe.asker, std::move(answer), now);
+    SendTo(probe.requester, std::move(answer), now);
   }
-  if (probe.kind == ProbeKind::kCross) {
+  if (probe.kind == ProbeKind::kCrossDataCentre) {
     const Member* target = table_.Find(sender);
     Link& link = links_[target->data_centre];
     link.last_answer = now;
-    link.attempt = 0;
+    link.unanswered_probes = 0;
     if (link.version % 2 == 1) {
       ++link.version;
       Report(MembershipEventKind::kDataCentreReachable, InstanceId(),
@@ -301,18 +304,18 @@
 
 void Membership::OnPingRequest(const Message& message, Time now) {
   const InstanceId subject(message.subject());
-  const InstanceId asker(message.sender());
+  const InstanceId requester(message.sender());
   const Member* known = table_.Find(subject);
   if (known == nullptr || subject == options_.self) {
     Message nack = NewMessage(Message::NACK);
     nack.set_probe(message.probe());
-    SendTo(asker, std::move(nack), now);
+    SendTo(requester, std::move(nack), now);
     return;
   }
   StartProbe(subject, ProbeKind::kRelayed, now);
   Probe& probe = probes_.rbegin()->second;
-  probe.asker = asker;
-  probe.asker_probe = message.probe();
+  probe.requester = requester;
+  probe.requester_probe = message.probe();
 }
 
 void Membership::OnJoin(const Message& message, Time now) {
@@ -326,13 +329,13 @@
       known->incarnation.value() > message.incarnation()) {
     *answer.add_records() = Record(*known, false);
   }
-  AttachSample(&answer, *known);
-  Emit(sender, known->address, std::move(answer), 0, now);
+  AttachMemberSample(&answer, *known);
+  SendWithinBudget(sender, known->address, std::move(answer), 0, now);
 }
 
 // A newcomer that knows only its seed would send the seed all its probes, and
 // many newcomers at once would exhaust the seed's budget.
-void Membership::AttachSample(Message* message, const Member& joiner) {
+void Membership::AttachMemberSample(Message* message, const Member& joiner) {
   std::vector<InstanceId> live = table_.LiveByScore(joiner.data_centre);
   std::shuffle(live.begin(), live.end(), random_.engine());
   std::size_t added = 0;
@@ -375,7 +378,7 @@
   // Comparisons may use more of the budget than gossip: a representative that
   // gossips up to its limit must still answer the other data centres.
   const double spare =
-      Available(now) -
+      AvailableBudget(now) -
       static_cast<double>(options_.probe_reserve_bytes) / kSyncReserveDivisor;
   const double limit =
       std::min(spare, static_cast<double>(options_.message_bytes));
@@ -410,12 +413,12 @@
 
 void Membership::OnSyncReply(const Message& message, Time now) {
   const InstanceId sender(message.sender());
-  const DataCentreId sender_dc = table_.Find(sender)->data_centre;
+  const DataCentreId sender_data_centre = table_.Find(sender)->data_centre;
   const DataCentreId data_centre(message.sync_data_centre());
   std::map<std::string, const MemberRecord*> theirs;
   for (const auto& record : message.records()) {
     theirs[record.name()] = &record;
-    Merge(record, sender_dc, now);
+    Merge(record, sender_data_centre, now);
   }
   // Sends back what the other side lacks or has older.
   Message push = NewMessage(Message::PUSH);
@@ -441,10 +444,10 @@
     *push.add_records() = std::move(record);
   }
   if (push.records_size() > 0) {
-    Emit(sender, table_.Find(sender)->address, std::move(push),
-         options_.probe_reserve_bytes, now);
+    SendWithinBudget(sender, table_.Find(sender)->address, std::move(push),
+                     options_.probe_reserve_bytes, now);
   }
-  const bool budget_left = Available(now) > options_.probe_reserve_bytes;
+  const bool budget_left = AvailableBudget(now) > options_.probe_reserve_bytes;
   // As long as comparisons bring records, the next one need not wait.
   if (!message.records().empty() && budget_left) next_sync_ = now;
   if (!message.more() || message.records().empty() || !budget_left) return;
@@ -480,11 +483,11 @@
 // Members.
 
 void Membership::Merge(const MemberRecord& record,
-                       const DataCentreId& sender_dc, Time now) {
+                       const DataCentreId& sender_data_centre, Time now) {
   if (record.name() == options_.self.value()) return MergeSelf(record, now);
   Member incoming{.id = InstanceId(record.name()),
                   .data_centre = record.data_centre().empty()
-                                     ? sender_dc
+                                     ? sender_data_centre
                                      : DataCentreId(record.data_centre()),
                   .address = record.address(),
                   .incarnation = Incarnation(record.incarnation()),
@@ -517,7 +520,8 @@
   if (incoming.state == MemberState::kSuspect) {
     return MergeSuspicion(*known, record, now);
   }
-  if (incoming.state > known->state) Declare(incoming.id, incoming.state, now);
+  if (incoming.state > known->state)
+    DeclareGone(incoming.id, incoming.state, now);
 }
 
 void Membership::MergeSelf(const MemberRecord& record, Time now) {
@@ -612,7 +616,8 @@
   if (first) Report(MembershipEventKind::kSuspect, id, data_centre, now);
 }
 
-void Membership::Declare(const InstanceId& id, MemberState state, Time now) {
+void Membership::DeclareGone(const InstanceId& id, MemberState state,
+                             Time now) {
   Member member = *table_.Find(id);
   member.state = state;
   member.since = now;
@@ -636,21 +641,23 @@
 
 void Membership::Announce(const InstanceId& id, bool urgent, Time now) {
   const int all = static_cast<int>(std::ceil(
-      options_.retransmit_factor * std::log2(LiveHere().size() + 1.0)));
-  gossip_[id] = urgent ? all : std::min(all, options_.retransmits_of_joins);
+      options_.retransmit_factor * std::log2(LocalLiveMembers().size() + 1.0)));
+  pending_gossip_[id] =
+      urgent ? all : std::min(all, options_.non_urgent_retransmits_maximum);
   if (!urgent) return;
-  for (const InstanceId& to : RandomLive(options_.urgent_fanout, {id})) {
+  for (const InstanceId& to :
+       RandomLocalLiveMembers(options_.urgent_fanout, {id})) {
     Message push = NewMessage(Message::PUSH);
     AttachGossip(&push, to, now);
     if (push.records_size() == 0) continue;
-    Emit(to, table_.Find(to)->address, std::move(push),
-         options_.probe_reserve_bytes, now);
+    SendWithinBudget(to, table_.Find(to)->address, std::move(push),
+                     options_.probe_reserve_bytes, now);
   }
 }
 
 Time Membership::SuspicionDeadline(const Member& member) const {
   const Time start = suspicions_.at(member.id);
-  const std::size_t live = LiveHere().size();
+  const std::size_t live = LocalLiveMembers().size();
   const std::size_t wanted =
       std::min(kConfirmationsWanted, live > 2 ? live - 2 : 0);
   const double confirmations =
@@ -661,12 +668,12 @@
       (options_.suspicion_maximum - options_.suspicion_minimum).count());
   const Duration timeout =
       options_.suspicion_maximum - Duration(std::int64_t(span * share));
-  return start + Scaled(timeout);
+  return start + ScaledByHealth(timeout);
 }
 
 // Time.
 
-void Membership::NoteTime(Time now) {
+void Membership::DetectPause(Time now) {
   last_seen_ = std::max(last_seen_, now);
   const Time due = NextWakeup();
   if (now <= due + options_.pause_threshold) return;
@@ -679,27 +686,27 @@
   for (auto& [id, link] : links_) link.last_answer += gap;
   health_score_ =
       std::min(options_.health_score_maximum, health_score_ + kPausePenalty);
-  next_round_ = std::max(next_round_, now);
-  next_cross_ = std::max(next_cross_, now);
+  next_probe_round_ = std::max(next_probe_round_, now);
+  next_cross_probe_ = std::max(next_cross_probe_, now);
   next_reconnect_ = std::max(next_reconnect_, now);
   next_reclaim_ = std::max(next_reclaim_, now);
 }
 
 void Membership::Tick(Time now) {
-  if (left_) return;
-  NoteTime(now);
+  if (has_left_) return;
+  DetectPause(now);
   AdvanceProbes(now);
   ExpireSuspicions(now);
-  if (now >= next_round_) ProbeRound(now);
-  if (now >= next_cross_) CrossRound(now);
+  if (now >= next_probe_round_) ProbeRound(now);
+  if (now >= next_cross_probe_) ProbeDataCentres(now);
   if (now >= next_reconnect_) Reconnect(now);
   if (now >= next_reclaim_) Reclaim(now);
 }
 
 Time Membership::NextWakeup() const {
-  if (left_) return Time::max();
-  Time next =
-      std::min({next_round_, next_cross_, next_reconnect_, next_reclaim_});
+  if (has_left_) return Time::max();
+  Time next = std::min(
+      {next_probe_round_, next_cross_probe_, next_reconnect_, next_reclaim_});
   for (const auto& [id, probe] : probes_) next = std::min(next, probe.deadline);
   for (const auto& [id, start] : suspicions_) {
     next = std::min(next, SuspicionDeadline(*table_.Find(id)));
@@ -708,10 +715,10 @@
 }
 
 void Membership::ProbeRound(Time now) {
-  next_round_ = now + options_.probe_interval;
+  next_probe_round_ = now + options_.probe_interval;
   std::set<InstanceId> targets;
-  if (const auto next = NextShuffled()) targets.insert(*next);
-  const std::vector<InstanceId>& here = LiveHere();
+  if (const auto next = NextInProbeOrder()) targets.insert(*next);
+  const std::vector<InstanceId>& here = LocalLiveMembers();
   const auto self = std::find(here.begin(), here.end(), options_.self);
   const std::size_t position = self - here.begin();
   for (std::size_t i = 1; i <= options_.ring_probes && i < here.size(); ++i) {
@@ -725,17 +732,17 @@
   }
 }
 
-std::optional<InstanceId> Membership::NextShuffled() {
+std::optional<InstanceId> Membership::NextInProbeOrder() {
   for (int pass = 0; pass < 2; ++pass) {
-    while (shuffled_position_ < shuffled_.size()) {
-      const InstanceId& id = shuffled_[shuffled_position_++];
+    while (probe_order_position_ < probe_order_.size()) {
+      const InstanceId& id = probe_order_[probe_order_position_++];
       const Member* member = table_.Find(id);
       if (member == nullptr || !member->live()) continue;
       if (id != options_.self) return id;
     }
-    shuffled_ = LiveHere();
-    shuffled_position_ = 0;
-    std::shuffle(shuffled_.begin(), shuffled_.end(), random_.engine());
+    probe_order_ = LocalLiveMembers();
+    probe_order_position_ = 0;
+    std::shuffle(probe_order_.begin(), probe_order_.end(), random_.engine());
   }
   return std::nullopt;
 }
@@ -743,8 +750,8 @@
 void Membership::StartProbe(const InstanceId& target, ProbeKind kind,
                             Time now) {
   const std::uint32_t id = next_probe_id_++;
-  Duration timeout = Scaled(options_.acknowledgement_timeout);
-  if (kind == ProbeKind::kCross) {
+  Duration timeout = ScaledByHealth(options_.acknowledgement_timeout);
+  if (kind == ProbeKind::kCrossDataCentre) {
     timeout = options_.cross_acknowledgement_timeout;
   }
   if (kind == ProbeKind::kRelayed) {
@@ -774,13 +781,13 @@
   const Member* target = table_.Find(probe.target);
   if (target == nullptr || probe.kind != ProbeKind::kDirect) {
     probes_.erase(id);
-    if (target != nullptr && probe.kind == ProbeKind::kCross) {
-      ++links_[target->data_centre].attempt;
+    if (target != nullptr && probe.kind == ProbeKind::kCrossDataCentre) {
+      ++links_[target->data_centre].unanswered_probes;
     }
     if (probe.kind != ProbeKind::kRelayed) return;
     Message nack = NewMessage(Message::NACK);
-    nack.set_probe(probe.asker_probe);
-    SendTo(probe.asker, std::move(nack), now);
+    nack.set_probe(probe.requester_probe);
+    SendTo(probe.requester, std::move(nack), now);
     return;
   }
   if (probe.indirect) {
@@ -793,8 +800,9 @@
     return Suspect(probe.target, options_.self, now);
   }
   probe.indirect = true;
-  probe.deadline = now + Scaled(options_.acknowledgement_timeout);
-  const auto helpers = RandomLive(options_.indirect_probes, {probe.target});
+  probe.deadline = now + ScaledByHealth(options_.acknowledgement_timeout);
+  const auto helpers =
+      RandomLocalLiveMembers(options_.indirect_probes, {probe.target});
   probe.helpers = helpers.size();
   probes_[id] = probe;
   for (const InstanceId& helper : helpers) {
@@ -814,11 +822,11 @@
   for (const auto& [id, start] : suspicions_) {
     if (now >= SuspicionDeadline(*table_.Find(id))) expired.push_back(id);
   }
-  for (const InstanceId& id : expired) Declare(id, MemberState::kDead, now);
+  for (const InstanceId& id : expired) DeclareGone(id, MemberState::kDead, now);
 }
 
-void Membership::CrossRound(Time now) {
-  next_cross_ = now + options_.cross_probe_interval;
+void Membership::ProbeDataCentres(Time now) {
+  next_cross_probe_ = now + options_.cross_probe_interval;
   const bool representative = IsRepresentative();
   if (representative && !was_representative_) {
     for (auto& [data_centre, link] : links_) link.last_answer = now;
@@ -830,7 +838,8 @@
     const std::vector<InstanceId> there = table_.LiveByScore(data_centre);
     if (there.empty()) continue;
     const std::size_t candidates = std::min(kCrossCandidates, there.size());
-    StartProbe(there[link.attempt % candidates], ProbeKind::kCross, now);
+    StartProbe(there[link.unanswered_probes % candidates],
+               ProbeKind::kCrossDataCentre, now);
   }
 }
 
@@ -866,7 +875,7 @@
   }
   if (candidates.empty()) return;
   // One that has found its data centre loads the seeds less.
-  const bool joined = LiveHere().size() > 1;
+  const bool joined = LocalLiveMembers().size() > 1;
   if (joined && random_.Chance(1 - kJoinedReconnectShare)) return;
   SendJoin(candidates[random_.Below(candidates.size())], now);
 }
@@ -881,7 +890,7 @@
   for (const InstanceId& id : expired) {
     table_.Remove(id);
     peers_.erase(id);
-    gossip_.erase(id);
+    pending_gossip_.erase(id);
   }
 }
 
@@ -900,13 +909,13 @@
 }
 
 void Membership::Leave(Time now) {
-  if (left_) return;
+  if (has_left_) return;
   Member self = Self();
   self.state = MemberState::kLeft;
   self.since = now;
   table_.Put(std::move(self));
   Announce(options_.self, true, now);
-  left_ = true;
+  has_left_ = true;
 }
 
 // Output.
@@ -974,14 +983,14 @@
   if (receiver != nullptr && receiver->state != MemberState::kAlive) {
     *message->add_records() = Record(*receiver, false);
   }
-  if (gossip_.empty()) return;
+  if (pending_gossip_.empty()) return;
   std::size_t bytes = message->ByteSizeLong() + 16;
-  const double spare = Available(now) - options_.probe_reserve_bytes;
+  const double spare = AvailableBudget(now) - options_.probe_reserve_bytes;
   const double limit =
       std::min(spare, static_cast<double>(options_.message_bytes));
   // The least sent come first; no more than this fit into a message.
   std::vector<std::pair<int, const InstanceId*>> order;
-  for (const auto& [id, remaining] : gossip_) {
+  for (const auto& [id, remaining] : pending_gossip_) {
     order.emplace_back(-remaining, &id);
   }
   const std::size_t most =
@@ -1003,14 +1012,14 @@
     bytes += record.ByteSizeLong() + kRecordOverhead;
     if (static_cast<double>(bytes) > limit) break;
     *message->add_records() = std::move(record);
-    if (--gossip_[id] <= 0) gossip_.erase(id);
+    if (--pending_gossip_[id] <= 0) pending_gossip_.erase(id);
   }
 }
 
 void Membership::SendTo(const InstanceId& to, Message message, Time now) {
   const Member* receiver = table_.Find(to);
   if (receiver == nullptr) return;
-  Emit(to, receiver->address, std::move(message), 0, now);
+  SendWithinBudget(to, receiver->address, std::move(message), 0, now);
 }
 
 void Membership::SendJoin(const MembershipSeed& seed, Time now) {
@@ -1018,31 +1027,32 @@
   Message join = NewMessage(Message::JOIN);
   join.set_roster_hash(table_.hash());
   *join.mutable_self() = Record(Self(), true);
-  Emit(seed.id, seed.address, std::move(join), 0, now);
+  SendWithinBudget(seed.id, seed.address, std::move(join), 0, now);
 }
 
-double Membership::Available(Time now) const {
-  const double refill = ToSeconds(now - budget_at_) *
+double Membership::AvailableBudget(Time now) const {
+  const double refill = ToSeconds(now - budget_updated_) *
                         static_cast<double>(options_.bytes_per_second);
   return std::min(static_cast<double>(options_.burst_bytes),
-                  budget_ + std::max(0.0, refill));
+                  budget_bytes_ + std::max(0.0, refill));
 }
 
-void Membership::Emit(const InstanceId& to, const std::string& address,
-                      Message message, std::size_t reserve, Time now) {
+void Membership::SendWithinBudget(const InstanceId& to,
+                                  const std::string& address, Message message,
+                                  std::size_t reserve, Time now) {
   if (!to.empty()) {
     message.set_target(ShortHash(to.value()));
     message.set_sequence(++peers_[to].next_sequence);
   }
   const std::size_t bytes = message.ByteSizeLong();
-  const double available = Available(now);
+  const double available = AvailableBudget(now);
   if (bytes > options_.message_bytes ||
       available < static_cast<double>(bytes + reserve)) {
     ++counters_.budget_drops;
     return;
   }
-  budget_ = available - static_cast<double>(bytes);
-  budget_at_ = std::max(budget_at_, now);
+  budget_bytes_ = available - static_cast<double>(bytes);
+  budget_updated_ = std::max(budget_updated_, now);
   ++counters_.messages_sent;
   counters_.bytes_sent += bytes;
   outputs_.messages.push_back({to, address, std::move(message)});
@@ -1074,7 +1084,7 @@
 }
 
 bool Membership::IsRepresentative() const {
-  const std::vector<InstanceId>& here = LiveHere();
+  const std::vector<InstanceId>& here = LocalLiveMembers();
   return !here.empty() && here.front() == options_.self;
 }
 
@@ -1083,18 +1093,18 @@
   return found == links_.end() || found->second.version % 2 == 0;
 }
 
-const std::vector<InstanceId>& Membership::LiveHere() const {
-  if (live_here_version_ != table_.live_version()) {
-    live_here_ = table_.LiveByScore(options_.data_centre);
-    live_here_version_ = table_.live_version();
+const std::vector<InstanceId>& Membership::LocalLiveMembers() const {
+  if (local_live_version_ != table_.live_version()) {
+    local_live_members_ = table_.LiveByScore(options_.data_centre);
+    local_live_version_ = table_.live_version();
   }
-  return live_here_;
+  return local_live_members_;
 }
 
-std::vector<InstanceId> Membership::RandomLive(
+std::vector<InstanceId> Membership::RandomLocalLiveMembers(
     std::size_t count, const std::vector<InstanceId>& excluded) {
   std::vector<InstanceId> candidates;
-  for (const InstanceId& id : LiveHere()) {
+  for (const InstanceId& id : LocalLiveMembers()) {
     if (id == options_.self) continue;
     if (std::find(excluded.begin(), excluded.end(), id) != excluded.end()) {
       continue;
