--- a/servers/membership/member_table.cc
+++ b/servers/membership/member_table.cc
@@ -1,4 +1,4 @@
-// Members with incremental roster hashes.
+// Member table with incremental roster hashes.
 #include "servers/membership/member_table.h"
 
 #include <xxhash.h>
@@ -30,13 +30,14 @@
 void MemberTable::Put(Member member) {
   member.score =
       HashText(member.id.value(), HashText(member.data_centre.value(), 0));
-  auto [place, inserted] = members_.try_emplace(member.id);
-  const bool was_live = !inserted && place->second.live();
-  if (was_live) UpdateRoster(place->second, false);
+  auto [entry, inserted] = members_.try_emplace(member.id);
+  const bool was_live = !inserted && entry->second.live();
+  if (was_live) UpdateRoster(entry->second, false);
   if (member.live()) UpdateRoster(member, true);
-  const bool moved = place->second.data_centre != member.data_centre;
-  if (was_live != member.live() || moved) ++live_version_;
-  place->second = std::move(member);
+  const bool data_centre_changed =
+      entry->second.data_centre != member.data_centre;
+  if (was_live != member.live() || data_centre_changed) ++live_version_;
+  entry->second = std::move(member);
 }
 
 void MemberTable::Remove(const InstanceId& id) {
--- a/servers/membership/membership.cc
+++ b/servers/membership/membership.cc
@@ -13,34 +13,41 @@
 using proto::MemberRecord;
 using proto::MembershipMessage;
 
-// A higher number can only come from a fault; accepting it would leave no room
-// to refute.
+// A higher incarnation can only be an error, and accepting it would leave no
+// higher one for a refutation.
 constexpr std::uint64_t kIncarnationMaximum = std::uint64_t{1} << 62;
 constexpr std::uint32_t kLinkVersionMaximum = 1u << 30;
 constexpr std::size_t kAccusersMaximum = 3;
-constexpr std::size_t kConfirmationsWanted = 2;
+// Confirmations that shorten a suspicion to its minimum.
+constexpr std::size_t kExpectedConfirmations = 2;
 constexpr std::size_t kJoinFanout = 3;
-// Members of the joiner's data centre that the answer to a join names.
-constexpr std::size_t kJoinSample = 3;
-// Candidates of another data centre that a representative tries in turn.
-constexpr std::size_t kCrossCandidates = 3;
+// Members of the joiner's data centre that the answer to a join contains.
+constexpr std::size_t kJoinSampleMembers = 3;
+// Members of another data centre that a representative probes in turn.
+constexpr std::size_t kCrossProbeCandidates = 3;
+// Sequence numbers; one bit each of Peer::window.
 constexpr std::uint32_t kReplayWindow = 64;
-// Bytes that a repeated field adds to a record: tag and length.
-constexpr std::size_t kRecordOverhead = 3;
+// Tag and length of a record in a repeated protobuf field.
+constexpr std::size_t kRecordOverheadBytes = 3;
 constexpr std::size_t kRecordBytesMinimum = 20;
-// A relayed probe must end before the requester's own timeout.
-constexpr double kRelayedShare = 0.6;
-constexpr double kJoinedReconnectShare = 0.25;
+// Share of acknowledgement_timeout: a relayed probe must end before the
+// requester's own timeout.
+constexpr double kRelayedTimeoutShare = 0.6;
+// Per reconnect interval, once a member of the data centre is known.
+constexpr double kJoinedReconnectProbability = 0.25;
+// Roster comparisons leave probe_reserve_bytes divided by this.
 constexpr int kSyncReserveDivisor = 2;
-constexpr int kPausePenalty = 2;
+// Added to the health score after a pause.
+constexpr int kPauseHealthPenalty = 2;
 
 std::uint32_t ShortHash(const std::string& text) {
   const auto hash = static_cast<std::uint32_t>(HashText(text, 0));
   return hash == 0 ? 1 : hash;
 }
 
-// Names and payloads appear in logs and JSON, so only printable ASCII passes.
-bool Printable(const std::string& text) {
+// Names and payloads appear in logs and JSON, so only printable ASCII is
+// accepted.
+bool IsPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
                      [](char c) { return c >= ' ' && c <= '~'; });
 }
@@ -92,14 +99,14 @@
   for (const MembershipSeed& seed : seeds) SendJoin(seed, now);
 }
 
-// Input.
+// Received messages.
 
 bool Membership::IsWellFormed(const MemberRecord& record) const {
   const std::size_t limit = options_.name_bytes_maximum;
   if (record.name().empty() || record.name().size() > limit) return false;
   if (record.data_centre().size() > limit) return false;
   if (record.address().size() > limit) return false;
-  if (!Printable(record.name() + record.data_centre() + record.address())) {
+  if (!IsPrintable(record.name() + record.data_centre() + record.address())) {
     return false;
   }
   if (record.incarnation() == 0) return false;
@@ -108,10 +115,10 @@
   if (record.state() < 0 || record.state() > proto::MEMBER_LEFT) return false;
   if (record.accusers_size() > static_cast<int>(kAccusersMaximum)) return false;
   for (const std::string& accuser : record.accusers()) {
-    if (accuser.size() > limit || !Printable(accuser)) return false;
+    if (accuser.size() > limit || !IsPrintable(accuser)) return false;
   }
   for (const auto& item : record.payload()) {
-    if (!Printable(item.key() + item.value())) return false;
+    if (!IsPrintable(item.key() + item.value())) return false;
   }
   return PayloadBytes(PayloadOf(record)) <= options_.payload_bytes_maximum;
 }
@@ -119,7 +126,7 @@
 bool Membership::IsWellFormed(const Message& message) const {
   if (message.kind() <= Message::UNKNOWN) return false;
   if (message.kind() > Message::PUSH) return false;
-  if (message.sender().empty() || !Printable(message.sender())) return false;
+  if (message.sender().empty() || !IsPrintable(message.sender())) return false;
   if (message.sender().size() > options_.name_bytes_maximum) return false;
   if (message.incarnation() == 0) return false;
   if (message.incarnation() > kIncarnationMaximum) return false;
@@ -165,8 +172,8 @@
     ++counters_.over_capacity;
     return false;
   }
-  // A join is answered even when it is stale: the answer tells a process
-  // that restarted with a lower clock to raise its incarnation.
+  // A stale join is answered too: the answer makes a process that restarted
+  // with its clock set back raise its incarnation.
   if (message.kind() == Message::JOIN) return true;
   if (sender != nullptr &&
       message.incarnation() < sender->incarnation.value()) {
@@ -256,11 +263,12 @@
 void Membership::OnAck(const Message& message, Time now) {
   const InstanceId sender(message.sender());
   const auto found = probes_.find(message.probe());
-  const bool cross = found != probes_.end() &&
-                     found->second.kind == ProbeKind::kCrossDataCentre;
-  // A representative fetches for its whole data centre, so comparisons with
-  // the others don't wait for those at home.
-  if (cross || now >= next_sync_) CompareRosters(message, now);
+  const bool cross_data_centre =
+      found != probes_.end() &&
+      found->second.kind == ProbeKind::kCrossDataCentre;
+  // A representative fetches records for its whole data centre, so its
+  // comparisons with other data centres don't wait for sync_interval.
+  if (cross_data_centre || now >= next_sync_) CompareRosters(message, now);
   if (message.probe() == 0) return;
   if (found == probes_.end()) {
     ++counters_.late_acknowledgements;
@@ -324,7 +332,8 @@
   *answer.mutable_self() = Record(Self(), true);
   if (message.roster_hash() != table_.hash()) AttachDigests(&answer);
   const Member* known = table_.Find(sender);
-  // One believed dead, or restarted with a lower incarnation, refutes this.
+  // The joiner refutes this record if it is listed here as not alive or with a
+  // higher incarnation.
   if (known->state != MemberState::kAlive ||
       known->incarnation.value() > message.incarnation()) {
     *answer.add_records() = Record(*known, false);
@@ -333,8 +342,9 @@
   SendWithinBudget(sender, known->address, std::move(answer), 0, now);
 }
 
-// A newcomer that knows only its seed would send the seed all its probes, and
-// many newcomers at once would exhaust the seed's budget.
+// Gives a joiner other members to probe. One that knows only its seed would
+// send all its probes there, and many joiners at once would exhaust the seed's
+// byte budget.
 void Membership::AttachMemberSample(Message* message, const Member& joiner) {
   std::vector<InstanceId> live = table_.LiveByScore(joiner.data_centre);
   std::shuffle(live.begin(), live.end(), random_.engine());
@@ -342,7 +352,7 @@
   for (const InstanceId& id : live) {
     if (id == joiner.id || id == options_.self) continue;
     *message->add_records() = Record(*table_.Find(id), true);
-    if (++added == kJoinSample) return;
+    if (++added == kJoinSampleMembers) return;
   }
 }
 
@@ -355,8 +365,8 @@
     differing.push_back(data_centre);
   }
   if (differing.empty()) return;
-  // The sender knows its own data centre best, and failure detection needs
-  // this one's.
+  // Prefers the sender's data centre: the sender knows that one best, and if it
+  // is also this instance's, failure detection needs it.
   DataCentreId chosen = differing[random_.Below(differing.size())];
   for (const DataCentreId& data_centre : differing) {
     const Member* sender = table_.Find(InstanceId(message.sender()));
@@ -371,12 +381,13 @@
 
 void Membership::OnSyncRequest(const Message& message, Time now) {
   const DataCentreId data_centre(message.sync_data_centre());
-  const RosterBuckets mine = table_.Buckets(data_centre);
+  const RosterBuckets own = table_.Buckets(data_centre);
   Message reply = NewMessage(Message::SYNC_REPLY);
   reply.set_sync_data_centre(data_centre.value());
   std::size_t bytes = reply.ByteSizeLong() + 64;
-  // Comparisons may use more of the budget than gossip: a representative that
-  // gossips up to its limit must still answer the other data centres.
+  // Roster comparisons may use more of the byte budget than gossip, so that a
+  // representative that gossips up to its limit can still answer other data
+  // centres.
   const double spare =
       AvailableBudget(now) -
       static_cast<double>(options_.probe_reserve_bytes) / kSyncReserveDivisor;
@@ -391,14 +402,13 @@
   const std::size_t first = random_.Below(kRosterBuckets);
   for (std::size_t i = 0; i < kRosterBuckets && !reply.more(); ++i) {
     const std::size_t bucket = (first + i) % kRosterBuckets;
-    if (mine[bucket] == message.buckets(static_cast<int>(bucket))) continue;
-    // A bucket too large for one message arrives over several, in random
-    // order.
+    if (own[bucket] == message.buckets(static_cast<int>(bucket))) continue;
+    // A bucket too large for one message is sent over several, in random order.
     std::shuffle(buckets[bucket].begin(), buckets[bucket].end(),
                  random_.engine());
     for (const Member* member : buckets[bucket]) {
       MemberRecord record = Record(*member, member->live());
-      bytes += record.ByteSizeLong() + kRecordOverhead;
+      bytes += record.ByteSizeLong() + kRecordOverheadBytes;
       if (static_cast<double>(bytes) > limit) {
         reply.set_more(true);
         break;
@@ -415,21 +425,21 @@
   const InstanceId sender(message.sender());
   const DataCentreId sender_data_centre = table_.Find(sender)->data_centre;
   const DataCentreId data_centre(message.sync_data_centre());
-  std::map<std::string, const MemberRecord*> theirs;
+  std::map<std::string, const MemberRecord*> received;
   for (const auto& record : message.records()) {
-    theirs[record.name()] = &record;
+    received[record.name()] = &record;
     Merge(record, sender_data_centre, now);
   }
-  // Sends back what the other side lacks or has older.
+  // Pushes the records that the sender lacks or has in an older version.
   Message push = NewMessage(Message::PUSH);
   std::size_t bytes = push.ByteSizeLong() + 16;
   for (const auto& [id, member] : table_.members()) {
     if (member.data_centre != data_centre) continue;
     const auto bucket = MemberTable::BucketOf(id);
     if ((message.complete_buckets() >> bucket & 1u) == 0) continue;
-    const auto found = theirs.find(id.value());
-    if (found == theirs.end() && !member.live()) continue;
-    if (found != theirs.end()) {
+    const auto found = received.find(id.value());
+    if (found == received.end() && !member.live()) continue;
+    if (found != received.end()) {
       const MemberRecord& record = *found->second;
       const bool newer =
           member.incarnation.value() > record.incarnation() ||
@@ -439,7 +449,7 @@
       if (!newer) continue;
     }
     MemberRecord record = Record(member, member.live());
-    bytes += record.ByteSizeLong() + kRecordOverhead;
+    bytes += record.ByteSizeLong() + kRecordOverheadBytes;
     if (bytes > options_.message_bytes) break;
     *push.add_records() = std::move(record);
   }
@@ -448,7 +458,8 @@
                      options_.probe_reserve_bytes, now);
   }
   const bool budget_left = AvailableBudget(now) > options_.probe_reserve_bytes;
-  // As long as comparisons bring records, the next one need not wait.
+  // While comparisons return records, the next one doesn't wait for
+  // sync_interval.
   if (!message.records().empty() && budget_left) next_sync_ = now;
   if (!message.more() || message.records().empty() || !budget_left) return;
   Message request = NewMessage(Message::SYNC_REQUEST);
@@ -480,7 +491,7 @@
   }
 }
 
-// Members.
+// Member table.
 
 void Membership::Merge(const MemberRecord& record,
                        const DataCentreId& sender_data_centre, Time now) {
@@ -528,9 +539,9 @@
   const Member& self = Self();
   if (record.incarnation() < self.incarnation.value()) return;
   const bool same_run = record.started() == self.started.value();
-  const bool agrees = record.incarnation() == self.incarnation.value() &&
-                      same_run && StateOf(record) == MemberState::kAlive;
-  if (agrees) return;
+  const bool up_to_date = record.incarnation() == self.incarnation.value() &&
+                          same_run && StateOf(record) == MemberState::kAlive;
+  if (up_to_date) return;
   Refute(record.incarnation(), now);
 }
 
@@ -658,12 +669,12 @@
 Time Membership::SuspicionDeadline(const Member& member) const {
   const Time start = suspicions_.at(member.id);
   const std::size_t live = LocalLiveMembers().size();
-  const std::size_t wanted =
-      std::min(kConfirmationsWanted, live > 2 ? live - 2 : 0);
+  const std::size_t expected =
+      std::min(kExpectedConfirmations, live > 2 ? live - 2 : 0);
   const double confirmations =
-      static_cast<double>(std::min(wanted, member.accusers.size() - 1));
+      static_cast<double>(std::min(expected, member.accusers.size() - 1));
   const double share =
-      wanted == 0 ? 0 : std::log1p(confirmations) / std::log1p(wanted);
+      expected == 0 ? 0 : std::log1p(confirmations) / std::log1p(expected);
   const double span = static_cast<double>(
       (options_.suspicion_maximum - options_.suspicion_minimum).count());
   const Duration timeout =
@@ -671,21 +682,21 @@
   return start + ScaledByHealth(timeout);
 }
 
-// Time.
+// Timers and probes.
 
 void Membership::DetectPause(Time now) {
   last_seen_ = std::max(last_seen_, now);
   const Time due = NextWakeup();
   if (now <= due + options_.pause_threshold) return;
-  // What should have arrived meanwhile is still in the process's queues, so
-  // nothing is concluded from silence during the pause.
+  // Messages that arrived during the pause are still queued, so missing answers
+  // during it don't count as failures.
   const Duration gap = now - due;
   ++counters_.pauses;
   probes_.clear();
   for (auto& [id, start] : suspicions_) start += gap;
   for (auto& [id, link] : links_) link.last_answer += gap;
-  health_score_ =
-      std::min(options_.health_score_maximum, health_score_ + kPausePenalty);
+  health_score_ = std::min(options_.health_score_maximum,
+                           health_score_ + kPauseHealthPenalty);
   next_probe_round_ = std::max(next_probe_round_, now);
   next_cross_probe_ = std::max(next_cross_probe_, now);
   next_reconnect_ = std::max(next_reconnect_, now);
@@ -756,7 +767,7 @@
   }
   if (kind == ProbeKind::kRelayed) {
     timeout = Duration(static_cast<std::int64_t>(
-        kRelayedShare *
+        kRelayedTimeoutShare *
         static_cast<double>(options_.acknowledgement_timeout.count())));
   }
   probes_[id] = {.kind = kind, .target = target, .deadline = now + timeout};
@@ -793,7 +804,7 @@
   if (probe.indirect) {
     probes_.erase(id);
     if (probe.helpers > 0 && !probe.nacked) {
-      // Neither the target nor any helper answered: the fault may be here.
+      // Neither the target nor any helper answered: the fault may be local.
       health_score_ =
           std::min(options_.health_score_maximum, health_score_ + 1);
     }
@@ -837,7 +848,8 @@
   for (auto& [data_centre, link] : links_) {
     const std::vector<InstanceId> there = table_.LiveByScore(data_centre);
     if (there.empty()) continue;
-    const std::size_t candidates = std::min(kCrossCandidates, there.size());
+    const std::size_t candidates =
+        std::min(kCrossProbeCandidates, there.size());
     StartProbe(there[link.unanswered_probes % candidates],
                ProbeKind::kCrossDataCentre, now);
   }
@@ -874,9 +886,10 @@
     candidates.push_back(seed);
   }
   if (candidates.empty()) return;
-  // One that has found its data centre loads the seeds less.
+  // Instances that have joined their data centre try less often, to limit the
+  // load on seeds.
   const bool joined = LocalLiveMembers().size() > 1;
-  if (joined && random_.Chance(1 - kJoinedReconnectShare)) return;
+  if (joined && random_.Chance(1 - kJoinedReconnectProbability)) return;
   SendJoin(candidates[random_.Below(candidates.size())], now);
 }
 
@@ -897,7 +910,7 @@
 bool Membership::SetPayload(MemberPayload payload, Time now) {
   if (PayloadBytes(payload) > options_.payload_bytes_maximum) return false;
   for (const auto& [key, value] : payload) {
-    if (!Printable(key + value)) return false;
+    if (!IsPrintable(key + value)) return false;
   }
   Member self = Self();
   if (payload == self.payload) return true;
@@ -918,7 +931,7 @@
   has_left_ = true;
 }
 
-// Output.
+// Sending and events.
 
 MembershipMessage Membership::NewMessage(Message::Kind kind) const {
   Message message;
@@ -932,8 +945,8 @@
 MemberRecord Membership::Record(const Member& member, bool full) const {
   MemberRecord record;
   record.set_name(member.id.value());
-  // The receiver fills in the sender's data centre, except for the sender's
-  // own record, which a receiver may see first.
+  // The receiver takes an empty data centre for the sender's. The sender's own
+  // record always names it, since the receiver may not know the sender yet.
   if (member.data_centre != options_.data_centre ||
       member.id == options_.self) {
     record.set_data_centre(member.data_centre.value());
@@ -979,7 +992,8 @@
 void Membership::AttachGossip(Message* message, const InstanceId& to,
                               Time now) {
   const Member* receiver = table_.Find(to);
-  // A receiver believed dead must learn so to refute it.
+  // A receiver that is listed here as suspect, dead or left must learn so to
+  // refute it.
   if (receiver != nullptr && receiver->state != MemberState::kAlive) {
     *message->add_records() = Record(*receiver, false);
   }
@@ -988,28 +1002,29 @@
   const double spare = AvailableBudget(now) - options_.probe_reserve_bytes;
   const double limit =
       std::min(spare, static_cast<double>(options_.message_bytes));
-  // The least sent come first; no more than this fit into a message.
+  // Updates with the most transmissions left come first; no more than this fit
+  // into a message.
   std::vector<std::pair<int, const InstanceId*>> order;
   for (const auto& [id, remaining] : pending_gossip_) {
     order.emplace_back(-remaining, &id);
   }
-  const std::size_t most =
+  const std::size_t records_maximum =
       std::min(order.size(), options_.message_bytes / kRecordBytesMinimum + 1);
-  std::partial_sort(order.begin(), order.begin() + most, order.end(),
+  std::partial_sort(order.begin(), order.begin() + records_maximum, order.end(),
                     [](const auto& a, const auto& b) {
                       return std::tie(a.first, *a.second) <
                              std::tie(b.first, *b.second);
                     });
-  order.resize(most);
-  const bool foreign =
+  order.resize(records_maximum);
+  const bool other_data_centre =
       receiver != nullptr && receiver->data_centre != options_.data_centre;
-  for (const auto& [negated, key] : order) {
+  for (const auto& [negated_remaining, key] : order) {
     const InstanceId& id = *key;
     const Member* member = table_.Find(id);
     if (member == nullptr || id == to) continue;
-    if (foreign && member->state == MemberState::kSuspect) continue;
+    if (other_data_centre && member->state == MemberState::kSuspect) continue;
     MemberRecord record = Record(*member, member->state == MemberState::kAlive);
-    bytes += record.ByteSizeLong() + kRecordOverhead;
+    bytes += record.ByteSizeLong() + kRecordOverheadBytes;
     if (static_cast<double>(bytes) > limit) break;
     *message->add_records() = std::move(record);
     if (--pending_gossip_[id] <= 0) pending_gossip_.erase(id);
