--- a/tests/membership/cluster.cc
+++ b/tests/membership/cluster.cc
@@ -1,4 +1,4 @@
-// Virtual deployment of Membership instances.
+// Simulated deployment of Membership instances.
 #include "tests/membership/cluster.h"
 
 #include <chrono>
@@ -17,7 +17,7 @@
       node.id = id;
       node.data_centre = DataCentreId("centre-" + std::to_string(dc));
       by_address_[address] = id;
-      // One seed in each data centre.
+      // The first instance of each data centre is a seed.
       if (i == 0) base_options.seeds.push_back({InstanceId(), address});
     }
   }
@@ -25,7 +25,7 @@
 
 void Cluster::Start(const InstanceId& id) {
   Node& node = nodes.at(id);
-  // Restarts come with a higher incarnation, as from a clock in milliseconds.
+  // A restart has a higher incarnation, like one from a clock in milliseconds.
   node.incarnation = std::max<std::uint64_t>(
       node.incarnation + 1, now.time_since_epoch().count() / 1000);
   MembershipOptions options = base_options;
@@ -64,17 +64,17 @@
 }
 
 void Cluster::Schedule(Node& node) {
-  const auto found = wakeup_of_.find(node.id);
-  if (found != wakeup_of_.end()) {
+  const auto found = wakeup_by_instance_.find(node.id);
+  if (found != wakeup_by_instance_.end()) {
     wakeups_.erase({found->second, node.id});
-    wakeup_of_.erase(found);
+    wakeup_by_instance_.erase(found);
   }
   if (node.membership == nullptr) return;
   const Time due =
       std::max({node.membership->NextWakeup(), node.paused_until, now});
   if (due == Time::max()) return;
   wakeups_.insert({due, node.id});
-  wakeup_of_[node.id] = due;
+  wakeup_by_instance_[node.id] = due;
 }
 
 void Cluster::Step(Node& node, const proto::MembershipMessage* message) {
@@ -98,8 +98,8 @@
 }
 
 void Cluster::Transmit(Node& from, const MembershipSend& send) {
-  // Independent check of the byte budget: a leaky bucket at the stated rate
-  // must never rise above the stated burst.
+  // Independent check of the byte budget: a leaky bucket that drains at
+  // bytes_per_second must not exceed burst_bytes.
   const double rate = static_cast<double>(base_options.bytes_per_second);
   from.budget_level =
       std::max(0.0, from.budget_level - ToSeconds(now - from.budget_at) * rate);
@@ -128,10 +128,11 @@
   if (network.cut.count({from, to}) > 0) return;
   if (random.Chance(network.loss_rate)) return;
   const int copies = random.Chance(network.duplicate_rate) ? 2 : 1;
-  const auto span = (network.delay_maximum - network.delay_minimum).count();
+  const auto delay_range =
+      (network.delay_maximum - network.delay_minimum).count();
   for (int i = 0; i < copies; ++i) {
     const Duration delay =
-        network.delay_minimum + Duration(random.Below(span + 1));
+        network.delay_minimum + Duration(random.Below(delay_range + 1));
     Post(now + delay, [this, to, receive] { Receive(to, receive); });
   }
 }
@@ -141,7 +142,7 @@
   const Node& node = nodes.at(to);
   if (node.membership == nullptr) return;
   if (node.paused_until <= now) return receive();
-  // A stopped process finds its messages when it continues.
+  // A paused process receives its queued messages when it resumes.
   Post(node.paused_until, [this, to, receive] { Receive(to, receive); });
 }
 
@@ -152,7 +153,7 @@
         wakeups_.empty() ? Time::max() : wakeups_.begin()->first;
     const Time task = tasks_.empty() ? Time::max() : tasks_.begin()->first;
     if (std::min(wakeup, task) > end) break;
-    // A process that continues after a pause may find its timer first.
+    // At equal times the timer runs first, as it may when a process resumes.
     if (wakeup <= task) {
       now = std::max(now, wakeup);
       const InstanceId id = wakeups_.begin()->second;
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -1,5 +1,5 @@
-// Failure detection, refutation, links between data centres, and input that
-// must be dropped.
+// Failure detection, refutation, reachability of data centres, and rejection of
+// invalid messages.
 #include "servers/membership/membership.h"
 
 #include <CppUTest/TestHarness.h>
@@ -40,9 +40,9 @@
 
 TEST_GROUP(Membership){};
 
-// Guards against a dead instance that stays live for longer than 2 s on any
-// member of a data centre of up to 70.
-TEST(Membership, DetectsADeadInstanceWithinTwoSeconds) {
+// Guards against a crashed instance that any member of its data centre, of up
+// to 70 members, still takes for live after 2 s.
+TEST(Membership, CrashedInstanceIsDeclaredDeadWithinTwoSeconds) {
   for (const int size : {2, 3, 7, 70}) {
     Duration worst{0};
     const int runs = size == 70 ? 6 : 30;
@@ -74,8 +74,9 @@
   }
 }
 
-// Guards against traffic or processor time that grows with the deployment.
-TEST(Membership, TrafficStaysWithinTheBudget) {
+// Guards against members that exceed the byte budget or send more than 3000 B/s
+// when idle in large deployments; prints the traffic and CPU time per member.
+TEST(Membership, TrafficStaysWithinByteBudget) {
   struct Shape {
     int data_centres;
     int per_data_centre;
@@ -87,7 +88,7 @@
     StartAll(cluster);
     const Time start = cluster.now;
     CHECK(RunUntilConverged(cluster, Seconds(60)));
-    const double joined = ToSeconds(cluster.now - start);
+    const double join_seconds = ToSeconds(cluster.now - start);
     std::map<InstanceId, std::uint64_t> before;
     std::map<InstanceId, std::uint64_t> received;
     cluster.Run(Seconds(10));
@@ -114,15 +115,16 @@
         "{} members in {} data centres: joined after {:.1f} s; idle, per "
         "node: sent {:.0f} B/s (most {:.0f}), most sent and received {:.0f} "
         "B/s, {:.2f} ms CPU per s\n",
-        cluster.nodes.size(), shape.data_centres, joined, mean, worst,
+        cluster.nodes.size(), shape.data_centres, join_seconds, mean, worst,
         worst_both, cpu * 1e3);
     CHECK(worst <= 3000);
   }
 }
 
 // Guards against a paused process that declares the others dead when it
-// continues, and against its staying dead afterwards.
-TEST(Membership, PausedInstanceDoubtsItselfAndReturns) {
+// resumes, since it took its own pause for their silence, and against one that
+// the others keep listing as dead afterwards.
+TEST(Membership, ResumedInstanceSuspectsNobodyAndRefutesItsDeath) {
   Cluster cluster({7}, 3);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(20)));
@@ -139,9 +141,9 @@
   CHECK(cluster.Converged());
 }
 
-// Guards against a process that was paused while it suspected another and
-// counts its own pause as the other's silence.
-TEST(Membership, PauseDoesNotTurnSuspicionIntoDeath) {
+// Guards against a process that is paused while it suspects another, and on
+// resuming counts its own pause towards the suspicion timeout.
+TEST(Membership, PauseOfObserverDoesNotExpireSuspicion) {
   int paused = 0;
   for (int seed = 1; seed <= 40; ++seed) {
     Cluster cluster({7}, seed);
@@ -167,8 +169,9 @@
   CHECK(paused >= 5);
 }
 
-// Guards against a lost data centre that appears as many dead instances.
-TEST(Membership, CutDataCentreIsUnreachableAndNotDead) {
+// Guards against a data centre that is cut off and whose instances are declared
+// dead.
+TEST(Membership, DataCentreCutOffIsUnreachableAndNotDead) {
   Cluster cluster({5, 5, 5}, 4);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(30)));
@@ -192,8 +195,9 @@
   CHECK(RunUntilConverged(cluster, Seconds(10)));
 }
 
-// Guards against parts that find each other through seeds only.
-TEST(Membership, HealsWithoutSeeds) {
+// Guards against sides of a partition that find each other again only through a
+// seed: here the seed has crashed.
+TEST(Membership, PartitionHealsWithoutLiveSeed) {
   Cluster cluster({6}, 9);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(20)));
@@ -205,9 +209,10 @@
   CHECK(RunUntilConverged(cluster, Seconds(20)));
 }
 
-// Guards against members that stay dead after a partition inside a data
-// centre, and against a rack of dead instances that exhausts the budget.
-TEST(Membership, HealsAfterPartitionAndRackFailure) {
+// Guards against members that stay listed as dead after a partition inside a
+// data centre, and against a byte budget exceeded when several instances crash
+// at once.
+TEST(Membership, ConvergesAfterPartitionAndRackFailure) {
   Cluster cluster({20, 20, 20}, 8);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(60)));
@@ -233,9 +238,9 @@
   for (auto& [id, node] : cluster.nodes) CHECK(!node.budget_exceeded);
 }
 
-// Guards against a restarted instance taken for its earlier run, and against
-// a clean departure reported as a death.
-TEST(Membership, RestartAndLeaveAreToldApartFromDeath) {
+// Guards against a restarted instance taken for its earlier run, and against a
+// departure that is announced but listed as a death.
+TEST(Membership, RestartAndLeaveAreDistinguishedFromDeath) {
   Cluster cluster({4, 4}, 5);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(20)));
@@ -254,8 +259,9 @@
   }
 }
 
-// Guards against payloads that don't spread or exceed their bound.
-TEST(Membership, PayloadSpreadsAndIsBounded) {
+// Guards against payload changes that don't reach all members, and payloads
+// above the size limit.
+TEST(Membership, PayloadReachesAllMembersAndIsBounded) {
   Cluster cluster({4, 4}, 6);
   StartAll(cluster);
   CHECK(RunUntilConverged(cluster, Seconds(20)));
@@ -271,8 +277,8 @@
   }
 }
 
-// Guards against invalid, replayed, stale and foreign messages that change
-// state or bring the process down.
+// Guards against malformed, replayed, stale and misaddressed messages that
+// change the state or crash the process.
 TEST(Membership, InvalidMessagesAreCountedAndDropped) {
   Cluster cluster({3}, 7);
   StartAll(cluster);
@@ -313,7 +319,7 @@
   message.mutable_records(message.records_size() - 1)
       ->set_incarnation(std::uint64_t{1} << 63);
   target.OnMessage(message, cluster.now);
-  // A stranger that introduces itself as dead, or without an address.
+  // An unknown sender that introduces itself without an address, or as dead.
   message = seen.back();
   message.set_sender("stranger");
   message.mutable_self()->set_name("stranger");
@@ -325,15 +331,15 @@
   target.OnMessage(message, cluster.now);
   LONGS_EQUAL(before.malformed + 4, target.counters().malformed);
   LONGS_EQUAL(before.foreign + 2, target.counters().foreign);
-  // Damaged messages that still parse.
+  // Randomly corrupted messages that still parse.
   for (int i = 0; i < 20000; ++i) {
     std::string bytes = seen.back().SerializeAsString();
     for (int flips = 0; flips < 3; ++flips) {
       bytes[cluster.random.Below(bytes.size())] =
           static_cast<char>(cluster.random.Below(256));
     }
-    proto::MembershipMessage garbled;
-    if (garbled.ParseFromString(bytes)) target.OnMessage(garbled, cluster.now);
+    proto::MembershipMessage mutated;
+    if (mutated.ParseFromString(bytes)) target.OnMessage(mutated, cluster.now);
   }
   target.TakeOutputs();
   CHECK(RunUntilConverged(cluster, Seconds(30)));
