--- a/servers/membership/membership.cc
+++ b/servers/membership/membership.cc
@@ -13,34 +13,41 @@
 using proto::MemberRecord;
 using proto::MembershipMessage;
 
-// A higher number can only come from a fault; accepting it would leave no room
-// to refute.
+// A higher incarnation can only be an error, and accepting it would leave no
+// higher one for a refutation.
 constexpr std::uint64_t kIncarnationMaximum = std::uint64_t{1} << 62;
 constexpr std::uint32_t kLinkVersionMaximum = 1u << 30;
 constexpr std::size_t kAccusersMaximum = 3;
-constexpr std::size_t kConfirmationsWanted = 2;
+// Confirmations that shorten a suspicion to its minimum.
+constexpr std::size_t kExpectedConfirmations = 2;
 constexpr std::size_t kJoinFanout = 3;
-// Members of the joiner's data centre that the answer to a join names.
-constexpr std::size_t kJoinSample = 3;
-// Candidates of another data centre that a representative tries in turn.
-constexpr std::size_t kCrossCandidates = 3;
+// Members of the joiner's data centre that the answer to a join contains.
+constexpr std::size_t kJoinSampleMembers = 3;
+// Members of another data centre that a representative probes in turn.
+constexpr std::size_t kCrossProbeCandidates = 3;
+// Sequence numbers; one bit each of Peer::window.
 constexpr std::uint32_t kReplayWindow = 64;
-// Bytes that a repeated field adds to a record: tag and length.
-constexpr std::size_t kRecordOverhead = 3;
+// Tag and length of a record in a repeated protobuf field.
+constexpr std::size_t kRecordOverheadBytes = 3;
 constexpr std::size_t kRecordBytesMinimum = 20;
-// A relayed probe must end before the asker's own timeout.
-constexpr double kRelayedShare = 0.6;
-constexpr double kJoinedReconnectShare = 0.25;
+// Share of acknowledgement_timeout: a relayed probe must end before the
+// requester's own timeout.
+constexpr double kRelayedTimeoutShare = 0.6;
+// Per reconnect interval, once a member of the data centre is known.
+constexpr double kJoinedReconnectProbability = 0.25;
+// Roster comparisons leave probe_reserve_bytes divided by this.
 constexpr int kSyncReserveDivisor = 2;
-constexpr int kPausePenalty = 2;
+// Added to the health score after a pause.
+constexpr int kPauseHealthPenalty = 2;
 
 std::uint32_t ShortHash(const std::string& text) {
   const auto hash = static_cast<std::uint32_t>(HashText(text, 0));
   return hash == 0 ? 1 : hash;
 }
 
-// Names and payloads appear in logs and JSON, so only printable ASCII passes.
-bool Printable(const std::string& text) {
+// Names and payloads appear in logs and JSON, so only printable ASCII is
+// accepted.
+bool IsPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
                      [](char c) { return c >= ' ' && c <= '~'; });
 }
@@ -68,16 +75,16 @@
       random_(options_.random_seed ^ HashText(options_.self.value(), 7)),
       deployment_hash_(ShortHash(options_.deployment)),
       self_hash_(ShortHash(options_.self.value())),
-      next_round_(now +
-                  Duration(random_.Below(options_.probe_interval.count()))),
-      next_cross_(
+      next_probe_round_(
+          now + Duration(random_.Below(options_.probe_interval.count()))),
+      next_cross_probe_(
           now + Duration(random_.Below(options_.cross_probe_interval.count()))),
       next_reconnect_(now),
       next_reclaim_(now + Seconds(1)),
       next_sync_(now),
       last_seen_(now),
-      budget_(static_cast<double>(options_.burst_bytes)),
-      budget_at_(now) {
+      budget_bytes_(static_cast<double>(options_.burst_bytes)),
+      budget_updated_(now) {
   table_.Put({.id = options_.self,
               .data_centre = options_.data_centre,
               .address = options_.address,
@@ -92,14 +99,14 @@
   for (const MembershipSeed& seed : seeds) SendJoin(seed, now);
 }
 
-// Input.
+// Received messages.
 
-bool Membership::Wellformed(const MemberRecord& record) const {
+bool Membership::IsWellFormed(const MemberRecord& record) const {
   const std::size_t limit = options_.name_bytes_maximum;
   if (record.name().empty() || record.name().size() > limit) return false;
   if (record.data_centre().size() > limit) return false;
   if (record.address().size() > limit) return false;
-  if (!Printable(record.name() + record.data_centre() + record.address())) {
+  if (!IsPrintable(record.name() + record.data_centre() + record.address())) {
     return false;
   }
   if (record.incarnation() == 0) return false;
@@ -108,18 +115,18 @@
   if (record.state() < 0 || record.state() > proto::MEMBER_LEFT) return false;
   if (record.accusers_size() > static_cast<int>(kAccusersMaximum)) return false;
   for (const std::string& accuser : record.accusers()) {
-    if (accuser.size() > limit || !Printable(accuser)) return false;
+    if (accuser.size() > limit || !IsPrintable(accuser)) return false;
   }
   for (const auto& item : record.payload()) {
-    if (!Printable(item.key() + item.value())) return false;
+    if (!IsPrintable(item.key() + item.value())) return false;
   }
   return PayloadBytes(PayloadOf(record)) <= options_.payload_bytes_maximum;
 }
 
-bool Membership::Wellformed(const Message& message) const {
+bool Membership::IsWellFormed(const Message& message) const {
   if (message.kind() <= Message::UNKNOWN) return false;
   if (message.kind() > Message::PUSH) return false;
-  if (message.sender().empty() || !Printable(message.sender())) return false;
+  if (message.sender().empty() || !IsPrintable(message.sender())) return false;
   if (message.sender().size() > options_.name_bytes_maximum) return false;
   if (message.incarnation() == 0) return false;
   if (message.incarnation() > kIncarnationMaximum) return false;
@@ -132,24 +139,26 @@
     return false;
   }
   if (message.has_self()) {
-    if (!Wellformed(message.self())) return false;
+    if (!IsWellFormed(message.self())) return false;
     if (message.self().name() != message.sender()) return false;
     if (message.self().data_centre().empty()) return false;
     if (message.self().address().empty()) return false;
     if (StateOf(message.self()) != MemberState::kAlive) return false;
   }
-  return std::all_of(message.records().begin(), message.records().end(),
-                     [this](const auto& record) { return Wellformed(record); });
+  return std::all_of(
+      message.records().begin(), message.records().end(),
+      [this](const auto& record) { return IsWellFormed(record); });
 }
 
-bool Membership::Admissible(const Message& message) {
+bool Membership::AcceptMessage(const Message& message) {
   if (message.deployment() != deployment_hash_ ||
       (message.target() != 0 && message.target() != self_hash_) ||
       message.sender() == options_.self.value()) {
     ++counters_.foreign;
     return false;
   }
-  if (message.ByteSizeLong() > options_.message_bytes || !Wellformed(message)) {
+  if (message.ByteSizeLong() > options_.message_bytes ||
+      !IsWellFormed(message)) {
     ++counters_.malformed;
     return false;
   }
@@ -163,18 +172,18 @@
     ++counters_.over_capacity;
     return false;
   }
-  // A join is answered even when it is stale: the answer tells a process
-  // that restarted with a lower clock to raise its incarnation.
+  // A stale join is answered too: the answer makes a process that restarted
+  // with its clock set back raise its incarnation.
   if (message.kind() == Message::JOIN) return true;
   if (sender != nullptr &&
       message.incarnation() < sender->incarnation.value()) {
     ++counters_.stale;
     return false;
   }
-  return Fresh(message);
+  return AcceptSequence(message);
 }
 
-bool Membership::Fresh(const Message& message) {
+bool Membership::AcceptSequence(const Message& message) {
   Peer& peer = peers_[InstanceId(message.sender())];
   if (message.incarnation() < peer.incarnation) {
     ++counters_.stale;
@@ -204,19 +213,20 @@
 }
 
 void Membership::OnMessage(const Message& message, Time now) {
-  if (left_) return;
-  NoteTime(now);
+  if (has_left_) return;
+  DetectPause(now);
   counters_.bytes_received += message.ByteSizeLong();
-  if (!Admissible(message)) return;
+  if (!AcceptMessage(message)) return;
   const InstanceId sender(message.sender());
   if (message.has_self()) Merge(message.self(), DataCentreId(), now);
   const Member* known = table_.Find(sender);
   if (known == nullptr) return;
-  const DataCentreId sender_dc = known->data_centre;
+  const DataCentreId sender_data_centre = known->data_centre;
   if (message.kind() != Message::SYNC_REPLY) {
-    for (const auto& record : message.records()) Merge(record, sender_dc, now);
+    for (const auto& record : message.records())
+      Merge(record, sender_data_centre, now);
   }
-  if (sender_dc == options_.data_centre) MergeLinks(message, now);
+  if (sender_data_centre == options_.data_centre) MergeLinks(message, now);
   switch (message.kind()) {
     case Message::PING:
       return OnPing(message, now);
@@ -241,7 +251,7 @@
   const InstanceId sender(message.sender());
   Message ack = NewMessage(Message::ACK);
   ack.set_probe(message.probe());
-  const bool budget_left = Available(now) > options_.probe_reserve_bytes;
+  const bool budget_left = AvailableBudget(now) > options_.probe_reserve_bytes;
   if (message.roster_hash() != table_.hash() && budget_left) {
     AttachDigests(&ack);
   }
@@ -253,11 +263,12 @@
 void Membership::OnAck(const Message& message, Time now) {
   const InstanceId sender(message.sender());
   const auto found = probes_.find(message.probe());
-  const bool cross =
-      found != probes_.end() && found->second.kind == ProbeKind::kCross;
-  // A representative fetches for its whole data centre, so comparisons with
-  // the others don't wait for those at home.
-  if (cross || now >= next_sync_) CompareRosters(message, now);
+  const bool cross_data_centre =
+      found != probes_.end() &&
+      found->second.kind == ProbeKind::kCrossDataCentre;
+  // A representative fetches records for its whole data centre, so its
+  // comparisons with other data centres don't wait for sync_interval.
+  if (cross_data_centre || now >= next_sync_) CompareRosters(message, now);
   if (message.probe() == 0) return;
   if (found == probes_.end()) {
     ++counters_.late_acknowledgements;
@@ -275,15 +286,15 @@
   if (probe.kind == ProbeKind::kDirect && health_score_ > 0) --health_score_;
   if (probe.kind == ProbeKind::kRelayed) {
     Message answer = NewMessage(Message::ACK);
-    answer.set_probe(probe.asker_probe);
+    answer.set_probe(probe.requester_probe);
     answer.set_subject(probe.target.value());
-    SendTo(probe.asker, std::move(answer), now);
+    SendTo(probe.requester, std::move(answer), now);
   }
-  if (probe.kind == ProbeKind::kCross) {
+  if (probe.kind == ProbeKind::kCrossDataCentre) {
     const Member* target = table_.Find(sender);
     Link& link = links_[target->data_centre];
     link.last_answer = now;
-    link.attempt = 0;
+    link.unanswered_probes = 0;
     if (link.version % 2 == 1) {
       ++link.version;
       Report(MembershipEventKind::kDataCentreReachable, InstanceId(),
@@ -301,18 +312,18 @@
 
 void Membership::OnPingRequest(const Message& message, Time now) {
   const InstanceId subject(message.subject());
-  const InstanceId asker(message.sender());
+  const InstanceId requester(message.sender());
   const Member* known = table_.Find(subject);
   if (known == nullptr || subject == options_.self) {
     Message nack = NewMessage(Message::NACK);
     nack.set_probe(message.probe());
-    SendTo(asker, std::move(nack), now);
+    SendTo(requester, std::move(nack), now);
     return;
   }
   StartProbe(subject, ProbeKind::kRelayed, now);
   Probe& probe = probes_.rbegin()->second;
-  probe.asker = asker;
-  probe.asker_probe = message.probe();
+  probe.requester = requester;
+  probe.requester_probe = message.probe();
 }
 
 void Membership::OnJoin(const Message& message, Time now) {
@@ -321,25 +332,27 @@
   *answer.mutable_self() = Record(Self(), true);
   if (message.roster_hash() != table_.hash()) AttachDigests(&answer);
   const Member* known = table_.Find(sender);
-  // One believed dead, or restarted with a lower incarnation, refutes this.
+  // The joiner refutes this record if it is listed here as not alive or with a
+  // higher incarnation.
   if (known->state != MemberState::kAlive ||
       known->incarnation.value() > message.incarnation()) {
     *answer.add_records() = Record(*known, false);
   }
-  AttachSample(&answer, *known);
-  Emit(sender, known->address, std::move(answer), 0, now);
+  AttachMemberSample(&answer, *known);
+  SendWithinBudget(sender, known->address, std::move(answer), 0, now);
 }
 
-// A newcomer that knows only its seed would send the seed all its probes, and
-// many newcomers at once would exhaust the seed's budget.
-void Membership::AttachSample(Message* message, const Member& joiner) {
+// Gives a joiner other members to probe. One that knows only its seed would
+// send all its probes there, and many joiners at once would exhaust the seed's
+// byte budget.
+void Membership::AttachMemberSample(Message* message, const Member& joiner) {
   std::vector<InstanceId> live = table_.LiveByScore(joiner.data_centre);
   std::shuffle(live.begin(), live.end(), random_.engine());
   std::size_t added = 0;
   for (const InstanceId& id : live) {
     if (id == joiner.id || id == options_.self) continue;
     *message->add_records() = Record(*table_.Find(id), true);
-    if (++added == kJoinSample) return;
+    if (++added == kJoinSampleMembers) return;
   }
 }
 
@@ -352,8 +365,8 @@
     differing.push_back(data_centre);
   }
   if (differing.empty()) return;
-  // The sender knows its own data centre best, and failure detection needs
-  // this one's.
+  // Prefers the sender's data centre: the sender knows that one best, and if it
+  // is also this instance's, failure detection needs it.
   DataCentreId chosen = differing[random_.Below(differing.size())];
   for (const DataCentreId& data_centre : differing) {
     const Member* sender = table_.Find(InstanceId(message.sender()));
@@ -368,14 +381,15 @@
 
 void Membership::OnSyncRequest(const Message& message, Time now) {
   const DataCentreId data_centre(message.sync_data_centre());
-  const RosterBuckets mine = table_.Buckets(data_centre);
+  const RosterBuckets own = table_.Buckets(data_centre);
   Message reply = NewMessage(Message::SYNC_REPLY);
   reply.set_sync_data_centre(data_centre.value());
   std::size_t bytes = reply.ByteSizeLong() + 64;
-  // Comparisons may use more of the budget than gossip: a representative that
-  // gossips up to its limit must still answer the other data centres.
+  // Roster comparisons may use more of the byte budget than gossip, so that a
+  // representative that gossips up to its limit can still answer other data
+  // centres.
   const double spare =
-      Available(now) -
+      AvailableBudget(now) -
       static_cast<double>(options_.probe_reserve_bytes) / kSyncReserveDivisor;
   const double limit =
       std::min(spare, static_cast<double>(options_.message_bytes));
@@ -388,14 +402,13 @@
   const std::size_t first = random_.Below(kRosterBuckets);
   for (std::size_t i = 0; i < kRosterBuckets && !reply.more(); ++i) {
     const std::size_t bucket = (first + i) % kRosterBuckets;
-    if (mine[bucket] == message.buckets(static_cast<int>(bucket))) continue;
-    // A bucket too large for one message arrives over several, in random
-    // order.
+    if (own[bucket] == message.buckets(static_cast<int>(bucket))) continue;
+    // A bucket too large for one message is sent over several, in random order.
     std::shuffle(buckets[bucket].begin(), buckets[bucket].end(),
                  random_.engine());
     for (const Member* member : buckets[bucket]) {
       MemberRecord record = Record(*member, member->live());
-      bytes += record.ByteSizeLong() + kRecordOverhead;
+      bytes += record.ByteSizeLong() + kRecordOverheadBytes;
       if (static_cast<double>(bytes) > limit) {
         reply.set_more(true);
         break;
@@ -410,23 +423,23 @@
 
 void Membership::OnSyncReply(const Message& message, Time now) {
   const InstanceId sender(message.sender());
-  const DataCentreId sender_dc = table_.Find(sender)->data_centre;
+  const DataCentreId sender_data_centre = table_.Find(sender)->data_centre;
   const DataCentreId data_centre(message.sync_data_centre());
-  std::map<std::string, const MemberRecord*> theirs;
+  std::map<std::string, const MemberRecord*> received;
   for (const auto& record : message.records()) {
-    theirs[record.name()] = &record;
-    Merge(record, sender_dc, now);
+    received[record.name()] = &record;
+    Merge(record, sender_data_centre, now);
   }
-  // Sends back what the other side lacks or has older.
+  // Pushes the records that the sender lacks or has in an older version.
   Message push = NewMessage(Message::PUSH);
   std::size_t bytes = push.ByteSizeLong() + 16;
   for (const auto& [id, member] : table_.members()) {
     if (member.data_centre != data_centre) continue;
     const auto bucket = MemberTable::BucketOf(id);
     if ((message.complete_buckets() >> bucket & 1u) == 0) continue;
-    const auto found = theirs.find(id.value());
-    if (found == theirs.end() && !member.live()) continue;
-    if (found != theirs.end()) {
+    const auto found = received.find(id.value());
+    if (found == received.end() && !member.live()) continue;
+    if (found != received.end()) {
       const MemberRecord& record = *found->second;
       const bool newer =
           member.incarnation.value() > record.incarnation() ||
@@ -436,16 +449,17 @@
       if (!newer) continue;
     }
     MemberRecord record = Record(member, member.live());
-    bytes += record.ByteSizeLong() + kRecordOverhead;
+    bytes += record.ByteSizeLong() + kRecordOverheadBytes;
     if (bytes > options_.message_bytes) break;
     *push.add_records() = std::move(record);
   }
   if (push.records_size() > 0) {
-    Emit(sender, table_.Find(sender)->address, std::move(push),
-         options_.probe_reserve_bytes, now);
+    SendWithinBudget(sender, table_.Find(sender)->address, std::move(push),
+                     options_.probe_reserve_bytes, now);
   }
-  const bool budget_left = Available(now) > options_.probe_reserve_bytes;
-  // As long as comparisons bring records, the next one need not wait.
+  const bool budget_left = AvailableBudget(now) > options_.probe_reserve_bytes;
+  // While comparisons return records, the next one doesn't wait for
+  // sync_interval.
   if (!message.records().empty() && budget_left) next_sync_ = now;
   if (!message.more() || message.records().empty() || !budget_left) return;
   Message request = NewMessage(Message::SYNC_REQUEST);
@@ -477,14 +491,14 @@
   }
 }
 
-// Members.
+// Member table.
 
 void Membership::Merge(const MemberRecord& record,
-                       const DataCentreId& sender_dc, Time now) {
+                       const DataCentreId& sender_data_centre, Time now) {
   if (record.name() == options_.self.value()) return MergeSelf(record, now);
   Member incoming{.id = InstanceId(record.name()),
                   .data_centre = record.data_centre().empty()
-                                     ? sender_dc
+                                     ? sender_data_centre
                                      : DataCentreId(record.data_centre()),
                   .address = record.address(),
                   .incarnation = Incarnation(record.incarnation()),
@@ -510,23 +524,24 @@
     updated.payload = incoming.payload;
     table_.Put(std::move(updated));
     Announce(incoming.id, false, now);
-    Report(MembershipEventKind::kPayload, incoming.id, incoming.data_centre,
-           now);
+    Report(MembershipEventKind::kPayloadChanged, incoming.id,
+           incoming.data_centre, now);
     known = table_.Find(incoming.id);
   }
   if (incoming.state == MemberState::kSuspect) {
     return MergeSuspicion(*known, record, now);
   }
-  if (incoming.state > known->state) Declare(incoming.id, incoming.state, now);
+  if (incoming.state > known->state)
+    DeclareGone(incoming.id, incoming.state, now);
 }
 
 void Membership::MergeSelf(const MemberRecord& record, Time now) {
   const Member& self = Self();
   if (record.incarnation() < self.incarnation.value()) return;
   const bool same_run = record.started() == self.started.value();
-  const bool agrees = record.incarnation() == self.incarnation.value() &&
-                      same_run && StateOf(record) == MemberState::kAlive;
-  if (agrees) return;
+  const bool up_to_date = record.incarnation() == self.incarnation.value() &&
+                          same_run && StateOf(record) == MemberState::kAlive;
+  if (up_to_date) return;
   Refute(record.incarnation(), now);
 }
 
@@ -579,7 +594,7 @@
     Report(MembershipEventKind::kRestarted, id, data_centre, now);
   }
   if (payload_changed) {
-    Report(MembershipEventKind::kPayload, id, data_centre, now);
+    Report(MembershipEventKind::kPayloadChanged, id, data_centre, now);
   }
   if (state == before.state) return;
   if (state == MemberState::kAlive) {
@@ -612,7 +627,8 @@
   if (first) Report(MembershipEventKind::kSuspect, id, data_centre, now);
 }
 
-void Membership::Declare(const InstanceId& id, MemberState state, Time now) {
+void Membership::DeclareGone(const InstanceId& id, MemberState state,
+                             Time now) {
   Member member = *table_.Find(id);
   member.state = state;
   member.since = now;
@@ -636,70 +652,72 @@
 
 void Membership::Announce(const InstanceId& id, bool urgent, Time now) {
   const int all = static_cast<int>(std::ceil(
-      options_.retransmit_factor * std::log2(LiveHere().size() + 1.0)));
-  gossip_[id] = urgent ? all : std::min(all, options_.retransmits_of_joins);
+      options_.retransmit_factor * std::log2(LocalLiveMembers().size() + 1.0)));
+  pending_gossip_[id] =
+      urgent ? all : std::min(all, options_.non_urgent_retransmits_maximum);
   if (!urgent) return;
-  for (const InstanceId& to : RandomLive(options_.urgent_fanout, {id})) {
+  for (const InstanceId& to :
+       RandomLocalLiveMembers(options_.urgent_fanout, {id})) {
     Message push = NewMessage(Message::PUSH);
     AttachGossip(&push, to, now);
     if (push.records_size() == 0) continue;
-    Emit(to, table_.Find(to)->address, std::move(push),
-         options_.probe_reserve_bytes, now);
+    SendWithinBudget(to, table_.Find(to)->address, std::move(push),
+                     options_.probe_reserve_bytes, now);
   }
 }
 
 Time Membership::SuspicionDeadline(const Member& member) const {
   const Time start = suspicions_.at(member.id);
-  const std::size_t live = LiveHere().size();
-  const std::size_t wanted =
-      std::min(kConfirmationsWanted, live > 2 ? live - 2 : 0);
+  const std::size_t live = LocalLiveMembers().size();
+  const std::size_t expected =
+      std::min(kExpectedConfirmations, live > 2 ? live - 2 : 0);
   const double confirmations =
-      static_cast<double>(std::min(wanted, member.accusers.size() - 1));
+      static_cast<double>(std::min(expected, member.accusers.size() - 1));
   const double share =
-      wanted == 0 ? 0 : std::log1p(confirmations) / std::log1p(wanted);
+      expected == 0 ? 0 : std::log1p(confirmations) / std::log1p(expected);
   const double span = static_cast<double>(
       (options_.suspicion_maximum - options_.suspicion_minimum).count());
   const Duration timeout =
       options_.suspicion_maximum - Duration(std::int64_t(span * share));
-  return start + Scaled(timeout);
+  return start + ScaledByHealth(timeout);
 }
 
-// Time.
+// Timers and probes.
 
-void Membership::NoteTime(Time now) {
+void Membership::DetectPause(Time now) {
   last_seen_ = std::max(last_seen_, now);
   const Time due = NextWakeup();
   if (now <= due + options_.pause_threshold) return;
-  // What should have arrived meanwhile is still in the process's queues, so
-  // nothing is concluded from silence during the pause.
+  // Messages that arrived during the pause are still queued, so missing answers
+  // during it don't count as failures.
   const Duration gap = now - due;
   ++counters_.pauses;
   probes_.clear();
   for (auto& [id, start] : suspicions_) start += gap;
   for (auto& [id, link] : links_) link.last_answer += gap;
-  health_score_ =
-      std::min(options_.health_score_maximum, health_score_ + kPausePenalty);
-  next_round_ = std::max(next_round_, now);
-  next_cross_ = std::max(next_cross_, now);
+  health_score_ = std::min(options_.health_score_maximum,
+                           health_score_ + kPauseHealthPenalty);
+  next_probe_round_ = std::max(next_probe_round_, now);
+  next_cross_probe_ = std::max(next_cross_probe_, now);
   next_reconnect_ = std::max(next_reconnect_, now);
   next_reclaim_ = std::max(next_reclaim_, now);
 }
 
 void Membership::Tick(Time now) {
-  if (left_) return;
-  NoteTime(now);
+  if (has_left_) return;
+  DetectPause(now);
   AdvanceProbes(now);
   ExpireSuspicions(now);
-  if (now >= next_round_) ProbeRound(now);
-  if (now >= next_cross_) CrossRound(now);
+  if (now >= next_probe_round_) ProbeRound(now);
+  if (now >= next_cross_probe_) ProbeDataCentres(now);
   if (now >= next_reconnect_) Reconnect(now);
   if (now >= next_reclaim_) Reclaim(now);
 }
 
 Time Membership::NextWakeup() const {
-  if (left_) return Time::max();
-  Time next =
-      std::min({next_round_, next_cross_, next_reconnect_, next_reclaim_});
+  if (has_left_) return Time::max();
+  Time next = std::min(
+      {next_probe_round_, next_cross_probe_, next_reconnect_, next_reclaim_});
   for (const auto& [id, probe] : probes_) next = std::min(next, probe.deadline);
   for (const auto& [id, start] : suspicions_) {
     next = std::min(next, SuspicionDeadline(*table_.Find(id)));
@@ -708,10 +726,10 @@
 }
 
 void Membership::ProbeRound(Time now) {
-  next_round_ = now + options_.probe_interval;
+  next_probe_round_ = now + options_.probe_interval;
   std::set<InstanceId> targets;
-  if (const auto next = NextShuffled()) targets.insert(*next);
-  const std::vector<InstanceId>& here = LiveHere();
+  if (const auto next = NextInProbeOrder()) targets.insert(*next);
+  const std::vector<InstanceId>& here = LocalLiveMembers();
   const auto self = std::find(here.begin(), here.end(), options_.self);
   const std::size_t position = self - here.begin();
   for (std::size_t i = 1; i <= options_.ring_probes && i < here.size(); ++i) {
@@ -725,17 +743,17 @@
   }
 }
 
-std::optional<InstanceId> Membership::NextShuffled() {
+std::optional<InstanceId> Membership::NextInProbeOrder() {
   for (int pass = 0; pass < 2; ++pass) {
-    while (shuffled_position_ < shuffled_.size()) {
-      const InstanceId& id = shuffled_[shuffled_position_++];
+    while (probe_order_position_ < probe_order_.size()) {
+      const InstanceId& id = probe_order_[probe_order_position_++];
       const Member* member = table_.Find(id);
       if (member == nullptr || !member->live()) continue;
       if (id != options_.self) return id;
     }
-    shuffled_ = LiveHere();
-    shuffled_position_ = 0;
-    std::shuffle(shuffled_.begin(), shuffled_.end(), random_.engine());
+    probe_order_ = LocalLiveMembers();
+    probe_order_position_ = 0;
+    std::shuffle(probe_order_.begin(), probe_order_.end(), random_.engine());
   }
   return std::nullopt;
 }
@@ -743,13 +761,13 @@
 void Membership::StartProbe(const InstanceId& target, ProbeKind kind,
                             Time now) {
   const std::uint32_t id = next_probe_id_++;
-  Duration timeout = Scaled(options_.acknowledgement_timeout);
-  if (kind == ProbeKind::kCross) {
+  Duration timeout = ScaledByHealth(options_.acknowledgement_timeout);
+  if (kind == ProbeKind::kCrossDataCentre) {
     timeout = options_.cross_acknowledgement_timeout;
   }
   if (kind == ProbeKind::kRelayed) {
     timeout = Duration(static_cast<std::int64_t>(
-        kRelayedShare *
+        kRelayedTimeoutShare *
         static_cast<double>(options_.acknowledgement_timeout.count())));
   }
   probes_[id] = {.kind = kind, .target = target, .deadline = now + timeout};
@@ -774,27 +792,28 @@
   const Member* target = table_.Find(probe.target);
   if (target == nullptr || probe.kind != ProbeKind::kDirect) {
     probes_.erase(id);
-    if (target != nullptr && probe.kind == ProbeKind::kCross) {
-      ++links_[target->data_centre].attempt;
+    if (target != nullptr && probe.kind == ProbeKind::kCrossDataCentre) {
+      ++links_[target->data_centre].unanswered_probes;
     }
     if (probe.kind != ProbeKind::kRelayed) return;
     Message nack = NewMessage(Message::NACK);
-    nack.set_probe(probe.asker_probe);
-    SendTo(probe.asker, std::move(nack), now);
+    nack.set_probe(probe.requester_probe);
+    SendTo(probe.requester, std::move(nack), now);
     return;
   }
   if (probe.indirect) {
     probes_.erase(id);
     if (probe.helpers > 0 && !probe.nacked) {
-      // Neither the target nor any helper answered: the fault may be here.
+      // Neither the target nor any helper answered: the fault may be local.
       health_score_ =
           std::min(options_.health_score_maximum, health_score_ + 1);
     }
     return Suspect(probe.target, options_.self, now);
   }
   probe.indirect = true;
-  probe.deadline = now + Scaled(options_.acknowledgement_timeout);
-  const auto helpers = RandomLive(options_.indirect_probes, {probe.target});
+  probe.deadline = now + ScaledByHealth(options_.acknowledgement_timeout);
+  const auto helpers =
+      RandomLocalLiveMembers(options_.indirect_probes, {probe.target});
   probe.helpers = helpers.size();
   probes_[id] = probe;
   for (const InstanceId& helper : helpers) {
@@ -814,11 +833,11 @@
   for (const auto& [id, start] : suspicions_) {
     if (now >= SuspicionDeadline(*table_.Find(id))) expired.push_back(id);
   }
-  for (const InstanceId& id : expired) Declare(id, MemberState::kDead, now);
+  for (const InstanceId& id : expired) DeclareGone(id, MemberState::kDead, now);
 }
 
-void Membership::CrossRound(Time now) {
-  next_cross_ = now + options_.cross_probe_interval;
+void Membership::ProbeDataCentres(Time now) {
+  next_cross_probe_ = now + options_.cross_probe_interval;
   const bool representative = IsRepresentative();
   if (representative && !was_representative_) {
     for (auto& [data_centre, link] : links_) link.last_answer = now;
@@ -829,8 +848,10 @@
   for (auto& [data_centre, link] : links_) {
     const std::vector<InstanceId> there = table_.LiveByScore(data_centre);
     if (there.empty()) continue;
-    const std::size_t candidates = std::min(kCrossCandidates, there.size());
-    StartProbe(there[link.attempt % candidates], ProbeKind::kCross, now);
+    const std::size_t candidates =
+        std::min(kCrossProbeCandidates, there.size());
+    StartProbe(there[link.unanswered_probes % candidates],
+               ProbeKind::kCrossDataCentre, now);
   }
 }
 
@@ -865,9 +886,10 @@
     candidates.push_back(seed);
   }
   if (candidates.empty()) return;
-  // One that has found its data centre loads the seeds less.
-  const bool joined = LiveHere().size() > 1;
-  if (joined && random_.Chance(1 - kJoinedReconnectShare)) return;
+  // Instances that have joined their data centre try less often, to limit the
+  // load on seeds.
+  const bool joined = LocalLiveMembers().size() > 1;
+  if (joined && random_.Chance(1 - kJoinedReconnectProbability)) return;
   SendJoin(candidates[random_.Below(candidates.size())], now);
 }
 
@@ -881,14 +903,14 @@
   for (const InstanceId& id : expired) {
     table_.Remove(id);
     peers_.erase(id);
-    gossip_.erase(id);
+    pending_gossip_.erase(id);
   }
 }
 
 bool Membership::SetPayload(MemberPayload payload, Time now) {
   if (PayloadBytes(payload) > options_.payload_bytes_maximum) return false;
   for (const auto& [key, value] : payload) {
-    if (!Printable(key + value)) return false;
+    if (!IsPrintable(key + value)) return false;
   }
   Member self = Self();
   if (payload == self.payload) return true;
@@ -900,16 +922,16 @@
 }
 
 void Membership::Leave(Time now) {
-  if (left_) return;
+  if (has_left_) return;
   Member self = Self();
   self.state = MemberState::kLeft;
   self.since = now;
   table_.Put(std::move(self));
   Announce(options_.self, true, now);
-  left_ = true;
+  has_left_ = true;
 }
 
-// Output.
+// Sending and events.
 
 MembershipMessage Membership::NewMessage(Message::Kind kind) const {
   Message message;
@@ -923,8 +945,8 @@
 MemberRecord Membership::Record(const Member& member, bool full) const {
   MemberRecord record;
   record.set_name(member.id.value());
-  // The receiver fills in the sender's data centre, except for the sender's
-  // own record, which a receiver may see first.
+  // The receiver takes an empty data centre for the sender's. The sender's own
+  // record always names it, since the receiver may not know the sender yet.
   if (member.data_centre != options_.data_centre ||
       member.id == options_.self) {
     record.set_data_centre(member.data_centre.value());
@@ -970,47 +992,49 @@
 void Membership::AttachGossip(Message* message, const InstanceId& to,
                               Time now) {
   const Member* receiver = table_.Find(to);
-  // A receiver believed dead must learn so to refute it.
+  // A receiver that is listed here as suspect, dead or left must learn so to
+  // refute it.
   if (receiver != nullptr && receiver->state != MemberState::kAlive) {
     *message->add_records() = Record(*receiver, false);
   }
-  if (gossip_.empty()) return;
+  if (pending_gossip_.empty()) return;
   std::size_t bytes = message->ByteSizeLong() + 16;
-  const double spare = Available(now) - options_.probe_reserve_bytes;
+  const double spare = AvailableBudget(now) - options_.probe_reserve_bytes;
   const double limit =
       std::min(spare, static_cast<double>(options_.message_bytes));
-  // The least sent come first; no more than this fit into a message.
+  // Updates with the most transmissions left come first; no more than this fit
+  // into a message.
   std::vector<std::pair<int, const InstanceId*>> order;
-  for (const auto& [id, remaining] : gossip_) {
+  for (const auto& [id, remaining] : pending_gossip_) {
     order.emplace_back(-remaining, &id);
   }
-  const std::size_t most =
+  const std::size_t records_maximum =
       std::min(order.size(), options_.message_bytes / kRecordBytesMinimum + 1);
-  std::partial_sort(order.begin(), order.begin() + most, order.end(),
+  std::partial_sort(order.begin(), order.begin() + records_maximum, order.end(),
                     [](const auto& a, const auto& b) {
                       return std::tie(a.first, *a.second) <
                              std::tie(b.first, *b.second);
                     });
-  order.resize(most);
-  const bool foreign =
+  order.resize(records_maximum);
+  const bool other_data_centre =
       receiver != nullptr && receiver->data_centre != options_.data_centre;
-  for (const auto& [negated, key] : order) {
+  for (const auto& [negated_remaining, key] : order) {
     const InstanceId& id = *key;
     const Member* member = table_.Find(id);
     if (member == nullptr || id == to) continue;
-    if (foreign && member->state == MemberState::kSuspect) continue;
+    if (other_data_centre && member->state == MemberState::kSuspect) continue;
     MemberRecord record = Record(*member, member->state == MemberState::kAlive);
-    bytes += record.ByteSizeLong() + kRecordOverhead;
+    bytes += record.ByteSizeLong() + kRecordOverheadBytes;
     if (static_cast<double>(bytes) > limit) break;
     *message->add_records() = std::move(record);
-    if (--gossip_[id] <= 0) gossip_.erase(id);
+    if (--pending_gossip_[id] <= 0) pending_gossip_.erase(id);
   }
 }
 
 void Membership::SendTo(const InstanceId& to, Message message, Time now) {
   const Member* receiver = table_.Find(to);
   if (receiver == nullptr) return;
-  Emit(to, receiver->address, std::move(message), 0, now);
+  SendWithinBudget(to, receiver->address, std::move(message), 0, now);
 }
 
 void Membership::SendJoin(const MembershipSeed& seed, Time now) {
@@ -1018,31 +1042,32 @@
   Message join = NewMessage(Message::JOIN);
   join.set_roster_hash(table_.hash());
   *join.mutable_self() = Record(Self(), true);
-  Emit(seed.id, seed.address, std::move(join), 0, now);
+  SendWithinBudget(seed.id, seed.address, std::move(join), 0, now);
 }
 
-double Membership::Available(Time now) const {
-  const double refill = ToSeconds(now - budget_at_) *
+double Membership::AvailableBudget(Time now) const {
+  const double refill = ToSeconds(now - budget_updated_) *
                         static_cast<double>(options_.bytes_per_second);
   return std::min(static_cast<double>(options_.burst_bytes),
-                  budget_ + std::max(0.0, refill));
+                  budget_bytes_ + std::max(0.0, refill));
 }
 
-void Membership::Emit(const InstanceId& to, const std::string& address,
-                      Message message, std::size_t reserve, Time now) {
+void Membership::SendWithinBudget(const InstanceId& to,
+                                  const std::string& address, Message message,
+                                  std::size_t reserve, Time now) {
   if (!to.empty()) {
     message.set_target(ShortHash(to.value()));
     message.set_sequence(++peers_[to].next_sequence);
   }
   const std::size_t bytes = message.ByteSizeLong();
-  const double available = Available(now);
+  const double available = AvailableBudget(now);
   if (bytes > options_.message_bytes ||
       available < static_cast<double>(bytes + reserve)) {
     ++counters_.budget_drops;
     return;
   }
-  budget_ = available - static_cast<double>(bytes);
-  budget_at_ = std::max(budget_at_, now);
+  budget_bytes_ = available - static_cast<double>(bytes);
+  budget_updated_ = std::max(budget_updated_, now);
   ++counters_.messages_sent;
   counters_.bytes_sent += bytes;
   outputs_.messages.push_back({to, address, std::move(message)});
@@ -1074,7 +1099,7 @@
 }
 
 bool Membership::IsRepresentative() const {
-  const std::vector<InstanceId>& here = LiveHere();
+  const std::vector<InstanceId>& here = LocalLiveMembers();
   return !here.empty() && here.front() == options_.self;
 }
 
@@ -1083,18 +1108,18 @@
   return found == links_.end() || found->second.version % 2 == 0;
 }
 
-const std::vector<InstanceId>& Membership::LiveHere() const {
-  if (live_here_version_ != table_.live_version()) {
-    live_here_ = table_.LiveByScore(options_.data_centre);
-    live_here_version_ = table_.live_version();
+const std::vector<InstanceId>& Membership::LocalLiveMembers() const {
+  if (local_live_version_ != table_.live_version()) {
+    local_live_members_ = table_.LiveByScore(options_.data_centre);
+    local_live_version_ = table_.live_version();
   }
-  return live_here_;
+  return local_live_members_;
 }
 
-std::vector<InstanceId> Membership::RandomLive(
+std::vector<InstanceId> Membership::RandomLocalLiveMembers(
     std::size_t count, const std::vector<InstanceId>& excluded) {
   std::vector<InstanceId> candidates;
-  for (const InstanceId& id : LiveHere()) {
+  for (const InstanceId& id : LocalLiveMembers()) {
     if (id == options_.self) continue;
     if (std::find(excluded.begin(), excluded.end(), id) != excluded.end()) {
       continue;
