--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -44,14 +44,14 @@
   options.self = InstanceId(settings_.ip);
   options.new_storage = NewStorageNumber();
   options.seed = NewStorageNumber();
-  options.may_found = may_found;
+  options.may_bootstrap = may_found;
   options.heartbeat = kHeartbeat;
   options.election_timeout_min = kElectionTimeoutMin;
   options.election_timeout_max = kElectionTimeoutMax;
   options.max_entry_bytes = kMaxEntryBytes;
   options.kept_after_compaction = kEntriesPerSnapshot;
   for (const SocketAddress& seed : settings_.seeds) {
-    options.founders.insert(InstanceId(seed.ip));
+    options.initial_voters.insert(InstanceId(seed.ip));
   }
   host_ = std::make_unique<RaftHost>(context_, metrics_, *this,
                                      [] { return BootTimeNow(); });
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -43,7 +43,7 @@
   options.seed = NewStorageNumber();
   options.heartbeat = kHeartbeat;
   for (const PeerSettings& peer : settings_.peers) {
-    if (peer.voter) options.founders.insert(peer.instance);
+    if (peer.voter) options.initial_voters.insert(peer.instance);
   }
   return host_.Start(std::move(options), std::move(storage));
 }
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -65,8 +65,8 @@
   if (hard_state_.storage == 0) hard_state_.storage = options_.new_storage;
   CheckInvariant(hard_state_.storage != 0, "the storage has a number");
   replica_ = {options_.self, hard_state_.storage};
-  hello_targets_ = options_.founders;
-  founding_forbidden_ = !options_.may_found;
+  hello_targets_ = options_.initial_voters;
+  founding_forbidden_ = !options_.may_bootstrap;
   if (stored.snapshot) {
     snapshot_ = std::make_shared<const Snapshot>(*stored.snapshot);
     log_.Reset(snapshot_->index, snapshot_->term);
@@ -311,7 +311,7 @@
   for (const InstanceId& target : hello_targets_) {
     if (target == options_.self) continue;
     proto::RaftMessage message = NewMessage(ReplicaId{target, 0});
-    for (const InstanceId& name : options_.founders) {
+    for (const InstanceId& name : options_.initial_voters) {
       message.mutable_hello()->add_founders(name.value());
     }
     // After the sync: the number of this storage must not be told before it is
@@ -329,7 +329,7 @@
   proto::RaftMessage answer = NewMessage(from);
   auto* reply = answer.mutable_hello_reply();
   reply->set_configured(!configurations_.empty() || term() > 0);
-  for (const InstanceId& name : options_.founders) {
+  for (const InstanceId& name : options_.initial_voters) {
     reply->add_founders(name.value());
   }
   for (const ReplicaId& voter : configuration().voters) {
@@ -354,7 +354,7 @@
   for (const std::string& name : reply.founders()) {
     founders.insert(InstanceId(name));
   }
-  if (founders != options_.founders) {
+  if (founders != options_.initial_voters) {
     ++counters_.malformed;
     return;
   }
@@ -364,13 +364,14 @@
 
 void Raft::FoundIfAllAnswered() {
   // One instance founds, so that two logs cannot be founded side by side.
-  if (options_.founders.empty() || *options_.founders.begin() != options_.self)
+  if (options_.initial_voters.empty() ||
+      *options_.initial_voters.begin() != options_.self)
     return;
   if (founding_forbidden_ || !configurations_.empty() || term() > 0) return;
   RaftConfiguration first;
   first.group = replica_.storage;
   first.voters.insert(replica_);
-  for (const InstanceId& founder : options_.founders) {
+  for (const InstanceId& founder : options_.initial_voters) {
     if (founder == options_.self) continue;
     const auto found = unconfigured_founders_.find(founder);
     if (found == unconfigured_founders_.end()) return;
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -31,10 +31,10 @@
   /// Instances that found the log together on their first start. The log is
   /// founded once all of them answered that they have no configuration, so an
   /// instance with a new disk never founds a second log. The same list on each.
-  std::set<InstanceId> founders;
+  std::set<InstanceId> initial_voters;
   /// False if the log was founded before: this storage then only joins, and
   /// looks for the others at the founders' addresses.
-  bool may_found = true;
+  bool may_bootstrap = true;
 
   Duration heartbeat = Milliseconds(100);
   /// Must be several heartbeats plus the time of a sync.
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -222,7 +222,7 @@
   }
   const RaftOptions options{.self = InstanceId(name),
                             .new_storage = machine.new_storage,
-                            .founders = Founders(),
+                            .initial_voters = Founders(),
                             .heartbeat = Milliseconds(40),
                             .election_timeout_min = Milliseconds(200),
                             .election_timeout_max = Milliseconds(400),
