--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -42,7 +42,7 @@
   std::filesystem::create_directories(LogFolder(settings_), error);
   RaftOptions options;
   options.self = InstanceId(settings_.ip);
-  options.new_storage = NewStorageNumber();
+  options.new_storage_id = NewStorageNumber();
   options.seed = NewStorageNumber();
   options.may_bootstrap = may_found;
   options.heartbeat = kHeartbeat;
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -39,7 +39,7 @@
 std::string ReplicaHost::Start(std::unique_ptr<LogStorage> storage) {
   RaftOptions options;
   options.self = settings_.instance;
-  options.new_storage = NewStorageNumber();
+  options.new_storage_id = NewStorageNumber();
   options.seed = NewStorageNumber();
   options.heartbeat = kHeartbeat;
   for (const PeerSettings& peer : settings_.peers) {
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -62,7 +62,7 @@
       hard_state_(stored.hard_state),
       next_heartbeat_(now),
       next_hello_(now) {
-  if (hard_state_.storage == 0) hard_state_.storage = options_.new_storage;
+  if (hard_state_.storage == 0) hard_state_.storage = options_.new_storage_id;
   CheckInvariant(hard_state_.storage != 0, "the storage has a number");
   replica_ = {options_.self, hard_state_.storage};
   hello_targets_ = options_.initial_voters;
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -27,7 +27,7 @@
   InstanceId self;
   /// Used when the storage has no number yet. Must come from the system's
   /// entropy: two storages with one number could vote twice. Not 0.
-  std::uint64_t new_storage = 0;
+  std::uint64_t new_storage_id = 0;
   /// Instances that found the log together on their first start. The log is
   /// founded once all of them answered that they have no configuration, so an
   /// instance with a new disk never founds a second log. The same list on each.
--- a/tests/consensus/group.h
+++ b/tests/consensus/group.h
@@ -37,7 +37,7 @@
 
   void Start(const std::string& name, std::uint64_t storage) {
     RaftOptions options{.self = InstanceId(name),
-                        .new_storage = storage,
+                        .new_storage_id = storage,
                         .initial_voters = founders_,
                         .seed = std::hash<std::string>{}(name) + storage,
                         .snapshot_chunk_bytes = 4,
--- a/tests/consensus/raft_rules_test.cc
+++ b/tests/consensus/raft_rules_test.cc
@@ -73,7 +73,7 @@
 
   void Start(const std::vector<Term>& terms) {
     raft = std::make_unique<Raft>(RaftOptions{.self = replica_a.instance,
-                                              .new_storage = 1,
+                                              .new_storage_id = 1,
                                               .kept_after_compaction = 0},
                                   Stored(terms), now);
     raft->TakeOutput();
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -195,7 +195,7 @@
 
 void Simulation::AddMachine(const std::string& name) {
   machines_[name] = std::make_unique<Machine>();
-  machines_[name]->new_storage = next_storage_++;
+  machines_[name]->new_storage_id = next_storage_++;
   Start(name);
 }
 
@@ -221,7 +221,7 @@
     Violate(name + " forgot its term");
   }
   const RaftOptions options{.self = InstanceId(name),
-                            .new_storage = machine.new_storage,
+                            .new_storage_id = machine.new_storage_id,
                             .initial_voters = Founders(),
                             .heartbeat = Milliseconds(40),
                             .election_timeout_min = Milliseconds(200),
--- a/tests/consensus/simulation.h
+++ b/tests/consensus/simulation.h
@@ -76,7 +76,7 @@
     FaultDisk disk;
     std::unique_ptr<Process> process;
     Duration clock{0};
-    std::uint64_t new_storage = 0;
+    std::uint64_t new_storage_id = 0;
     Term term_told = 0;
   };
   struct Client {
