--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -204,7 +204,7 @@
   Raft& raft = host_->raft();
   if (!raft.configuration_committed()) return;
   VoterView view{.configuration = raft.configuration(),
-                 .silence = raft.Silence()};
+                 .silence = raft.TimeSinceLastReply()};
   for (const auto& [replica, heard_at] : raft.unconfigured()) {
     view.unconfigured[replica] = now - heard_at;
   }
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -104,7 +104,7 @@
   return found == progress_.end() ? 0 : found->second.match;
 }
 
-std::map<ReplicaId, Duration> Raft::Silence() const {
+std::map<ReplicaId, Duration> Raft::TimeSinceLastReply() const {
   std::map<ReplicaId, Duration> silence;
   for (const auto& [id, progress] : progress_) {
     silence[id] = now_ - progress.last_answer;
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -210,7 +210,7 @@
   /// Leader only: the highest entry known durable at `member`.
   LogIndex MatchIndex(const ReplicaId& member) const;
   /// Leader only: time since each other member answered.
-  std::map<ReplicaId, Duration> Silence() const;
+  std::map<ReplicaId, Duration> TimeSinceLastReply() const;
 
  private:
   enum class Replication { kProbe, kPipeline, kSnapshot };
