--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -205,7 +205,7 @@
   if (!raft.configuration_committed()) return;
   VoterView view{.configuration = raft.configuration(),
                  .silence = raft.TimeSinceLastReply()};
-  for (const auto& [replica, heard_at] : raft.unconfigured()) {
+  for (const auto& [replica, heard_at] : raft.unconfigured_replicas()) {
     view.unconfigured[replica] = now - heard_at;
   }
   const VoterStep step = PlanVoters({}, view);
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -322,10 +322,11 @@
 }
 
 void Raft::HandleHello(const ReplicaId& from, const proto::RaftHello&) {
-  std::erase_if(unconfigured_, [&](const auto& known) {
+  std::erase_if(unconfigured_replicas_, [&](const auto& known) {
     return known.first.instance == from.instance;
   });
-  if (unconfigured_.size() < kMaxUnconfigured) unconfigured_[from] = now_;
+  if (unconfigured_replicas_.size() < kMaxUnconfigured)
+    unconfigured_replicas_[from] = now_;
   proto::RaftMessage answer = NewMessage(from);
   auto* reply = answer.mutable_hello_reply();
   reply->set_configured(!configurations_.empty() || term() > 0);
@@ -491,7 +492,7 @@
     const bool silent =
         now_ - progress.last_answer >= options_.election_timeout_max;
     if (!silent || !configuration().IsVoter(id)) continue;
-    for (const auto& [fresh, heard] : unconfigured_) {
+    for (const auto& [fresh, heard] : unconfigured_replicas_) {
       if (fresh.instance != id.instance) continue;
       if (now_ - heard >= 3 * options_.election_timeout_min) continue;
       // Copies: the change of members alters what the loops run over.
@@ -547,7 +548,7 @@
   if (entry.kind == EntryKind::kConfiguration) {
     auto parsed = ParseConfiguration(entry.data);
     CheckInvariant(parsed.has_value(), "configuration entries are well formed");
-    std::erase_if(unconfigured_, [&](const auto& known) {
+    std::erase_if(unconfigured_replicas_, [&](const auto& known) {
       return parsed->IsMember(known.first);
     });
     configurations_[entry.index] = std::move(*parsed);
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -200,8 +200,8 @@
   bool storage_failed() const { return storage_failed_; }
   /// Replicas without a configuration that said hello to this one, for the
   /// operator's choice of a replacement.
-  const std::map<ReplicaId, Time>& unconfigured() const {
-    return unconfigured_;
+  const std::map<ReplicaId, Time>& unconfigured_replicas() const {
+    return unconfigured_replicas_;
   }
   /// Term of an entry that is kept in memory; null for others.
   std::optional<Term> TermAt(LogIndex index) const {
@@ -400,7 +400,7 @@
   /// Instances that hellos go to: the founders and the voters that answers
   /// named.
   std::set<InstanceId> hello_targets_;
-  std::map<ReplicaId, Time> unconfigured_;
+  std::map<ReplicaId, Time> unconfigured_replicas_;
 
   /// Collects until TakeOutput().
   RaftOutput output_;
--- a/tests/consensus/raft_test.cc
+++ b/tests/consensus/raft_test.cc
@@ -44,7 +44,8 @@
   group.Run(Seconds(10));
   CHECK(group.Leader() != "a");
   CHECK(group.At("a").configuration().voters.empty());
-  CHECK(group.LeaderRaft().unconfigured().contains({InstanceId("a"), 2}));
+  CHECK(group.LeaderRaft().unconfigured_replicas().contains(
+      {InstanceId("a"), 2}));
 }
 
 // Guards against an isolated leader that still answers.
