--- a/main/raft_host.cc
+++ b/main/raft_host.cc
@@ -96,7 +96,7 @@
     delegate_.SendRaft(message);
   }
   const std::vector<LogEntry> committed = std::move(output.committed);
-  const std::optional<Snapshot> install = std::move(output.install);
+  const std::optional<Snapshot> install = std::move(output.snapshot_to_install);
   const std::vector<ReadResult> reads = std::move(output.reads);
   const bool role_changed = output.role_changed;
   if (output.batch != 0) {
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -27,7 +27,8 @@
 
 bool RaftOutput::empty() const {
   return batch == 0 && messages.empty() && messages_after_sync.empty() &&
-         !install && committed.empty() && reads.empty() && !role_changed;
+         !snapshot_to_install && committed.empty() && reads.empty() &&
+         !role_changed;
 }
 
 boost::leaf::result<void> Persist(const RaftOutput& output,
@@ -72,7 +73,7 @@
     log_.Reset(snapshot_->index, snapshot_->term);
     configurations_[snapshot_->index] = snapshot_->configuration;
     delivered_ = snapshot_->index;
-    output_.install = *stored.snapshot;
+    output_.snapshot_to_install = *stored.snapshot;
   }
   for (const LogEntry& entry : stored.entries) AppendEntry(entry);
   // A crash can leave the entries of a batch without its hard state.
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -77,7 +77,8 @@
 ///    batches are persisted in order;
 /// 3. once that is durable, send `messages_after_sync` and call OnPersisted();
 ///    a batch without `must_sync` is done as soon as the batches before it are;
-/// 4. install `install`, apply `committed`, then answer `reads`. This needs no
+/// 4. install `snapshot_to_install`, apply `committed`, then answer `reads`.
+/// This needs no
 ///    sync: only entries that are durable here are handed out.
 /// Step 2 may run on another thread, which then owns the storage.
 struct RaftOutput {
@@ -97,7 +98,7 @@
   std::vector<proto::RaftMessage> messages_after_sync;
 
   /// Replaces the whole state of the application.
-  std::optional<Snapshot> install;
+  std::optional<Snapshot> snapshot_to_install;
   /// Entries of all kinds, consecutive over all outputs.
   std::vector<LogEntry> committed;
   std::vector<ReadResult> reads;
--- a/servers/consensus/raft_replication.cc
+++ b/servers/consensus/raft_replication.cc
@@ -394,7 +394,7 @@
   hard_state_.commit = index;
   delivered_ = index;
   output_.save_snapshot = snapshot;
-  output_.install = snapshot;
+  output_.snapshot_to_install = snapshot;
   snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
 }
 
--- a/tests/consensus/group.h
+++ b/tests/consensus/group.h
@@ -110,7 +110,7 @@
       network_.emplace_back(name, message);
     }
     if (output.batch != 0) node.raft->OnPersisted(output.batch, now);
-    if (output.install) node.installed = output.install;
+    if (output.snapshot_to_install) node.installed = output.snapshot_to_install;
     for (auto& entry : output.committed) node.applied.push_back(entry);
     for (auto& read : output.reads) node.reads.push_back(read);
     return true;
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -345,10 +345,10 @@
   RaftOutput output = process.raft->TakeOutput();
   Send(machine, output.messages);
   if (process.raft->role() == RaftRole::kLeader) CheckLeader(*process.raft);
-  if (output.install) {
-    process.registers = LoadRegisters(output.install->data);
-    process.applied = output.install->index;
-    process.compacted = output.install->index;
+  if (output.snapshot_to_install) {
+    process.registers = LoadRegisters(output.snapshot_to_install->data);
+    process.applied = output.snapshot_to_install->index;
+    process.compacted = output.snapshot_to_install->index;
     ++counts_.snapshots_installed;
   }
   for (const LogEntry& entry : output.committed) Apply(name, entry);
