--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -49,7 +49,7 @@
   options.election_timeout_min = kElectionTimeoutMin;
   options.election_timeout_max = kElectionTimeoutMax;
   options.max_entry_bytes = kMaxEntryBytes;
-  options.kept_after_compaction = kEntriesPerSnapshot;
+  options.entries_kept_after_compaction = kEntriesPerSnapshot;
   for (const SocketAddress& seed : settings_.seeds) {
     options.initial_voters.insert(InstanceId(seed.ip));
   }
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -585,8 +585,8 @@
       Snapshot{index, *log_.TermAt(index), at->second, std::move(state)});
   configurations_.erase(configurations_.begin(), at);
   output_.save_snapshot = *snapshot_;
-  if (index > options_.kept_after_compaction) {
-    log_.CompactTo(index - options_.kept_after_compaction);
+  if (index > options_.entries_kept_after_compaction) {
+    log_.CompactTo(index - options_.entries_kept_after_compaction);
   }
   return true;
 }
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -54,7 +54,7 @@
   std::size_t max_uncommitted_entries = 4096;
   /// Entries kept in memory before a compaction, so that a replica that is a
   /// little behind needs no snapshot.
-  std::size_t kept_after_compaction = 256;
+  std::size_t entries_kept_after_compaction = 256;
   /// The leader replaces a silent voter by a replica of the same instance that
   /// has no configuration: an instance that came back with an empty disk.
   bool replace_same_instance = true;
--- a/tests/consensus/group.h
+++ b/tests/consensus/group.h
@@ -41,7 +41,7 @@
                         .initial_voters = founders_,
                         .seed = std::hash<std::string>{}(name) + storage,
                         .snapshot_chunk_bytes = 4,
-                        .kept_after_compaction = 0,
+                        .entries_kept_after_compaction = 0,
                         .replace_same_instance = replace_same_instance};
     nodes[name] = {std::make_unique<Raft>(options, StoredState{}, now)};
   }
--- a/tests/consensus/raft_rules_test.cc
+++ b/tests/consensus/raft_rules_test.cc
@@ -72,10 +72,11 @@
   std::unique_ptr<Raft> raft;
 
   void Start(const std::vector<Term>& terms) {
-    raft = std::make_unique<Raft>(RaftOptions{.self = replica_a.instance,
-                                              .new_storage_id = 1,
-                                              .kept_after_compaction = 0},
-                                  Stored(terms), now);
+    raft =
+        std::make_unique<Raft>(RaftOptions{.self = replica_a.instance,
+                                           .new_storage_id = 1,
+                                           .entries_kept_after_compaction = 0},
+                               Stored(terms), now);
     raft->TakeOutput();
   }
 
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -230,7 +230,7 @@
                             .max_append_bytes = 20,
                             .max_inflight = 4,
                             .snapshot_chunk_bytes = 8,
-                            .kept_after_compaction = random_.Below(10),
+                            .entries_kept_after_compaction = random_.Below(10),
                             .replace_same_instance = faults_.automatic,
                             .promotion_lag_entries = 4};
   process->raft = std::make_unique<Raft>(options, stored, LocalTime(machine));
