--- a/scripts/mutations/consensus.sh
+++ b/scripts/mutations/consensus.sh
@@ -109,7 +109,7 @@
   output_.messages.push_back'
 # The leader counts its own entries before they are durable.
 mutate leader_counts_unsynced $raft \
-  'if (member == replica_) return durable_;' \
+  'if (member == replica_) return durable_index_;' \
   'if (member == replica_) return log_.LastIndex();'
 # A follower commits entries that the leader has not checked.
 mutate commit_unchecked $replication \
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -67,12 +67,12 @@
   CheckInvariant(hard_state_.storage != 0, "the storage has a number");
   replica_ = {options_.self, hard_state_.storage};
   hello_targets_ = options_.initial_voters;
-  founding_forbidden_ = !options_.may_bootstrap;
+  bootstrap_forbidden_ = !options_.may_bootstrap;
   if (stored.snapshot) {
     snapshot_ = std::make_shared<const Snapshot>(*stored.snapshot);
     log_.Reset(snapshot_->index, snapshot_->term);
     configurations_[snapshot_->index] = snapshot_->configuration;
-    delivered_ = snapshot_->index;
+    delivered_index_ = snapshot_->index;
     output_.snapshot_to_install = *stored.snapshot;
   }
   for (const LogEntry& entry : stored.entries) AppendEntry(entry);
@@ -80,14 +80,14 @@
   hard_state_.term = std::max(hard_state_.term, log_.LastTerm());
   if (hard_state_.term != stored.hard_state.term) hard_state_.vote = {};
   hard_state_.commit =
-      std::clamp(hard_state_.commit, delivered_, log_.LastIndex());
-  durable_ = log_.LastIndex();
-  handed_over_ = log_.LastIndex();
-  handed_over_state_ = stored.hard_state;
+      std::clamp(hard_state_.commit, delivered_index_, log_.LastIndex());
+  durable_index_ = log_.LastIndex();
+  batched_index_ = log_.LastIndex();
+  batched_state_ = stored.hard_state;
   ResetElectionTimer();
 }
 
-void Raft::Advance(Time now) { now_ = std::max(now_, now); }
+void Raft::AdvanceClock(Time now) { now_ = std::max(now_, now); }
 
 const RaftConfiguration& Raft::configuration() const {
   static const RaftConfiguration none;
@@ -100,7 +100,7 @@
 }
 
 LogIndex Raft::MatchIndex(const ReplicaId& member) const {
-  if (member == replica_) return durable_;
+  if (member == replica_) return durable_index_;
   const auto found = progress_.find(member);
   return found == progress_.end() ? 0 : found->second.match;
 }
@@ -108,19 +108,19 @@
 std::map<ReplicaId, Duration> Raft::TimeSinceLastReply() const {
   std::map<ReplicaId, Duration> silence;
   for (const auto& [id, progress] : progress_) {
-    silence[id] = now_ - progress.last_answer;
+    silence[id] = now_ - progress.last_reply;
   }
   return silence;
 }
 
 void Raft::Tick(Time now) {
-  Advance(now);
+  AdvanceClock(now);
   if (configurations_.empty()) {
     if (now_ >= next_hello_) SendHellos();
     return;
   }
   if (role_ == RaftRole::kLeader) {
-    if (!HearsQuorum()) {
+    if (!HasActiveQuorum()) {
       BecomeFollower(term(), ReplicaId{});
       return;
     }
@@ -134,7 +134,7 @@
   if (now_ < election_deadline_) return;
   // A founder that told its term before the first configuration is durable
   // could not found again after a crash.
-  if (durable_ == 0) return;
+  if (durable_index_ == 0) return;
   if (!IsVoter() || storage_failed_) {
     ResetElectionTimer();
     return;
@@ -145,8 +145,8 @@
 // --- Incoming messages -----------------------------------------------------
 
 void Raft::Step(const proto::RaftMessage& message, Time now) {
-  Advance(now);
-  if (!CheckShape(message)) {
+  AdvanceClock(now);
+  if (!IsWellFormed(message)) {
     ++counters_.malformed;
     return;
   }
@@ -164,7 +164,7 @@
   Dispatch(message, from);
 }
 
-bool Raft::CheckShape(const proto::RaftMessage& message) {
+bool Raft::IsWellFormed(const proto::RaftMessage& message) {
   if (message.from().instance().empty()) return false;
   if (message.from().storage() == 0) return false;
   if (FromProto(message.from()) == replica_) return false;
@@ -219,7 +219,7 @@
 bool Raft::CheckTerm(const proto::RaftMessage& message, const ReplicaId& from) {
   if (message.term() < term()) {
     ++counters_.stale;
-    AnswerStale(message, from);
+    ReplyToStale(message, from);
     return false;
   }
   if (message.term() == term()) return true;
@@ -234,8 +234,8 @@
   return true;
 }
 
-void Raft::AnswerStale(const proto::RaftMessage& message,
-                       const ReplicaId& from) {
+void Raft::ReplyToStale(const proto::RaftMessage& message,
+                        const ReplicaId& from) {
   // The answer carries the newer term, so that the sender gives up its role.
   proto::RaftMessage answer = NewMessage(from);
   if (message.has_append() || message.has_snapshot_chunk()) {
@@ -307,8 +307,8 @@
 }
 
 void Raft::SendHellos() {
-  next_hello_ = now_ + (founding_forbidden_ ? options_.election_timeout_min
-                                            : options_.heartbeat);
+  next_hello_ = now_ + (bootstrap_forbidden_ ? options_.election_timeout_min
+                                             : options_.heartbeat);
   for (const InstanceId& target : hello_targets_) {
     if (target == options_.self) continue;
     proto::RaftMessage message = NewMessage(ReplicaId{target, 0});
@@ -319,7 +319,7 @@
     // durable.
     output_.messages_after_sync.push_back(std::move(message));
   }
-  FoundIfAllAnswered();
+  BootstrapIfAllReplied();
 }
 
 void Raft::HandleHello(const ReplicaId& from, const proto::RaftHello&) {
@@ -349,7 +349,7 @@
     }
   }
   if (reply.configured()) {
-    founding_forbidden_ = true;
+    bootstrap_forbidden_ = true;
     return;
   }
   std::set<InstanceId> founders;
@@ -360,27 +360,27 @@
     ++counters_.malformed;
     return;
   }
-  unconfigured_founders_[from.instance] = from;
-  FoundIfAllAnswered();
+  unconfigured_initial_voters_[from.instance] = from;
+  BootstrapIfAllReplied();
 }
 
-void Raft::FoundIfAllAnswered() {
+void Raft::BootstrapIfAllReplied() {
   // One instance founds, so that two logs cannot be founded side by side.
   if (options_.initial_voters.empty() ||
       *options_.initial_voters.begin() != options_.self)
     return;
-  if (founding_forbidden_ || !configurations_.empty() || term() > 0) return;
+  if (bootstrap_forbidden_ || !configurations_.empty() || term() > 0) return;
   RaftConfiguration first;
   first.group = replica_.storage;
   first.voters.insert(replica_);
   for (const InstanceId& founder : options_.initial_voters) {
     if (founder == options_.self) continue;
-    const auto found = unconfigured_founders_.find(founder);
-    if (found == unconfigured_founders_.end()) return;
+    const auto found = unconfigured_initial_voters_.find(founder);
+    if (found == unconfigured_initial_voters_.end()) return;
     first.voters.insert(found->second);
   }
   SetTerm(1);
-  AppendOwn(EntryKind::kConfiguration, ToProto(first).SerializeAsString());
+  AppendNewEntry(EntryKind::kConfiguration, ToProto(first).SerializeAsString());
   election_deadline_ = now_;
 }
 
@@ -402,13 +402,13 @@
 }
 
 ProposeResult Raft::Propose(std::string data, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   const ProposeResult check = CheckPropose();
   if (!check.accepted()) return check;
   if (data.size() > options_.max_entry_bytes) {
     return Refuse(ProposeResult::Refusal::kTooLarge);
   }
-  AppendOwn(EntryKind::kData, std::move(data));
+  AppendNewEntry(EntryKind::kData, std::move(data));
   return {.index = log_.LastIndex(), .term = term()};
 }
 
@@ -429,12 +429,12 @@
       next.voters, configuration().voters,
       std::inserter(changed, changed.begin()));
   CheckInvariant(changed.size() <= 1, "one voter changes at a time");
-  AppendOwn(EntryKind::kConfiguration, ToProto(next).SerializeAsString());
+  AppendNewEntry(EntryKind::kConfiguration, ToProto(next).SerializeAsString());
   return {.index = log_.LastIndex(), .term = term()};
 }
 
 ProposeResult Raft::AddLearner(const ReplicaId& learner, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   RaftConfiguration next = configuration();
   if (learner.empty() || learner.storage == 0 || next.IsMember(learner)) {
     return Refuse(ProposeResult::Refusal::kInvalid);
@@ -444,13 +444,13 @@
 }
 
 ProposeResult Raft::Promote(const ReplicaId& learner, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   RaftConfiguration next = configuration();
   const auto found = progress_.find(learner);
   const bool caught_up =
       found != progress_.end() && found->second.match > 0 &&
       found->second.match + options_.promotion_lag_entries >= last_index() &&
-      now_ - found->second.last_answer < options_.election_timeout_min;
+      now_ - found->second.last_reply < options_.election_timeout_min;
   if (!next.learners.contains(learner) || !caught_up) {
     return Refuse(ProposeResult::Refusal::kInvalid);
   }
@@ -460,7 +460,7 @@
 }
 
 ProposeResult Raft::Remove(const ReplicaId& member, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   RaftConfiguration next = configuration();
   if (!next.IsMember(member)) {
     return Refuse(ProposeResult::Refusal::kInvalid);
@@ -476,7 +476,7 @@
 
 ProposeResult Raft::ReplaceVoter(const ReplicaId& lost,
                                  const ReplicaId& replacement, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   RaftConfiguration next = configuration();
   if (!next.IsVoter(lost) || next.IsVoter(replacement) || next.replacement ||
       replacement.empty() || replacement.storage == 0) {
@@ -491,7 +491,7 @@
   if (!options_.replace_same_instance) return;
   for (const auto& [id, progress] : progress_) {
     const bool silent =
-        now_ - progress.last_answer >= options_.election_timeout_max;
+        now_ - progress.last_reply >= options_.election_timeout_max;
     if (!silent || !configuration().IsVoter(id)) continue;
     for (const auto& [fresh, heard] : unconfigured_replicas_) {
       if (fresh.instance != id.instance) continue;
@@ -533,7 +533,7 @@
   });
   const auto add = [&](const ReplicaId& id) {
     if (id == replica_ || progress_.contains(id)) return;
-    progress_[id] = {.next = log_.LastIndex() + 1, .last_answer = now_};
+    progress_[id] = {.next = log_.LastIndex() + 1, .last_reply = now_};
   };
   for (const ReplicaId& id : current.voters) add(id);
   for (const ReplicaId& id : current.learners) add(id);
@@ -541,7 +541,7 @@
 
 // --- Log -------------------------------------------------------------------
 
-void Raft::AppendOwn(EntryKind kind, std::string data) {
+void Raft::AppendNewEntry(EntryKind kind, std::string data) {
   AppendEntry({log_.LastIndex() + 1, term(), kind, std::move(data)});
 }
 
@@ -566,9 +566,9 @@
   log_.TruncateFrom(first_removed);
   configurations_.erase(configurations_.lower_bound(first_removed),
                         configurations_.end());
-  durable_ = std::min(durable_, first_removed - 1);
-  if (first_removed > handed_over_) return;
-  handed_over_ = first_removed - 1;
+  durable_index_ = std::min(durable_index_, first_removed - 1);
+  if (first_removed > batched_index_) return;
+  batched_index_ = first_removed - 1;
   first_valid_batch_ = next_batch_;
   output_.truncate_from = output_.truncate_from == 0
                               ? first_removed
@@ -577,7 +577,8 @@
 
 bool Raft::Compact(LogIndex index, std::string state) {
   const LogIndex previous = snapshot_ ? snapshot_->index : 0;
-  if (index <= previous || index > std::min(delivered_, durable_)) return false;
+  if (index <= previous || index > std::min(delivered_index_, durable_index_))
+    return false;
   const auto after = configurations_.upper_bound(index);
   if (after == configurations_.begin()) return false;
   const auto at = std::prev(after);
@@ -598,9 +599,9 @@
     if (heartbeat_due_) {
       ++round_;
       next_heartbeat_ = now_ + options_.heartbeat;
-      Broadcast(Occasion::kHeartbeat);
+      Broadcast(SendReason::kHeartbeat);
     } else {
-      Broadcast(commit_due_ ? Occasion::kCommit : Occasion::kEntries);
+      Broadcast(commit_due_ ? SendReason::kCommit : SendReason::kEntries);
     }
     ConfirmReads();
   }
@@ -609,17 +610,17 @@
   RaftOutput output = std::move(output_);
   output_ = {};
   FillBatch(output);
-  HandOutCommitted(output);
+  DeliverCommitted(output);
   return output;
 }
 
 void Raft::FillBatch(RaftOutput& output) {
-  if (handed_over_ < log_.LastIndex()) {
+  if (batched_index_ < log_.LastIndex()) {
     output.entries =
-        log_.Slice(handed_over_ + 1, std::numeric_limits<std::size_t>::max());
+        log_.Slice(batched_index_ + 1, std::numeric_limits<std::size_t>::max());
   }
-  if (hard_state_ != handed_over_state_) output.hard_state = hard_state_;
-  const HardState& old = handed_over_state_;
+  if (hard_state_ != batched_state_) output.hard_state = hard_state_;
+  const HardState& old = batched_state_;
   const bool state_must_sync = hard_state_.term != old.term ||
                                hard_state_.vote != old.vote ||
                                hard_state_.storage != old.storage;
@@ -639,19 +640,19 @@
   output.batch = next_batch_++;
   batches_.push_back(
       {output.batch, log_.LastIndex(), hard_state_.term, hard_state_.vote});
-  handed_over_ = log_.LastIndex();
-  handed_over_state_ = hard_state_;
+  batched_index_ = log_.LastIndex();
+  batched_state_ = hard_state_;
 }
 
-void Raft::HandOutCommitted(RaftOutput& output) {
-  const LogIndex limit = std::min(hard_state_.commit, durable_);
-  for (; delivered_ < limit; ++delivered_) {
-    output.committed.push_back(log_.At(delivered_ + 1));
+void Raft::DeliverCommitted(RaftOutput& output) {
+  const LogIndex limit = std::min(hard_state_.commit, durable_index_);
+  for (; delivered_index_ < limit; ++delivered_index_) {
+    output.committed.push_back(log_.At(delivered_index_ + 1));
   }
 }
 
 void Raft::OnPersisted(std::uint64_t batch, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   storage_failed_ = false;
   bool voted = false;
   while (!batches_.empty() && batches_.front().id <= batch) {
@@ -659,7 +660,7 @@
     if (done.id >= first_valid_batch_) {
       CheckInvariant(done.last_index <= log_.LastIndex(),
                      "durable entries are in the log");
-      durable_ = std::max(durable_, done.last_index);
+      durable_index_ = std::max(durable_index_, done.last_index);
     }
     if (done.term == term() && done.vote == replica_) voted = true;
     batches_.pop_front();
@@ -674,7 +675,7 @@
 }
 
 void Raft::OnPersistFailed(Time now) {
-  Advance(now);
+  AdvanceClock(now);
   storage_failed_ = true;
   if (role_ != RaftRole::kFollower) BecomeFollower(term(), ReplicaId{});
 }
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -1,6 +1,6 @@
-// Consensus core: the published Raft algorithm as a deterministic state machine
-// without I/O, clock or threads. Inputs are messages, ticks, proposals and
-// reports that data is durable; outputs are values.
+// The Raft consensus algorithm as a deterministic state machine without I/O,
+// clock or threads. Inputs are messages, ticks, proposals and notifications
+// that data is durable; the outputs are returned as RaftOutput.
 #ifndef SERVERS_CONSENSUS_RAFT_H_
 #define SERVERS_CONSENSUS_RAFT_H_
 
@@ -25,40 +25,43 @@
 
 struct RaftOptions {
   InstanceId self;
-  /// Used when the storage has no number yet. Must come from the system's
-  /// entropy: two storages with one number could vote twice. Not 0.
+  /// Assigned to a storage that has no ID yet. Must not be 0, and must come
+  /// from the system's entropy source: two storages of an instance that share
+  /// an ID could vote twice in a term.
   std::uint64_t new_storage_id = 0;
-  /// Instances that found the log together on their first start. The log is
-  /// founded once all of them answered that they have no configuration, so an
-  /// instance with a new disk never founds a second log. The same list on each.
+  /// Instances that bootstrap the group on their first start; must be the same
+  /// on each. The group is bootstrapped once all of them have replied that they
+  /// have no configuration, so that an instance with a new disk never
+  /// bootstraps a second group.
   std::set<InstanceId> initial_voters;
-  /// False if the log was founded before: this storage then only joins, and
-  /// looks for the others at the founders' addresses.
+  /// False if the group has been bootstrapped before. This replica then only
+  /// joins, and looks for the group at the addresses of the initial voters.
   bool may_bootstrap = true;
 
   Duration heartbeat = Milliseconds(100);
-  /// Must be several heartbeats plus the time of a sync.
+  /// Must be several heartbeats plus the duration of a sync.
   Duration election_timeout_min = Seconds(1);
   Duration election_timeout_max = Seconds(2);
   std::uint64_t seed = 1;
 
-  /// Data of one append message; a larger entry travels alone.
+  /// Maximum data per append message; a larger entry is sent on its own.
   std::size_t max_append_bytes = 64 * 1024;
-  /// Appends without an answer per peer.
+  /// Maximum unacknowledged appends per follower.
   std::size_t max_inflight = 16;
   std::size_t snapshot_chunk_bytes = 256 * 1024;
-  /// Larger snapshots of others are refused as malformed.
+  /// Larger snapshots from a leader are rejected as malformed.
   std::size_t max_snapshot_bytes = std::size_t{512} * 1024 * 1024;
-  /// Proposals above these limits are refused.
+  /// Proposals that exceed these limits are refused.
   std::size_t max_entry_bytes = 1024 * 1024;
   std::size_t max_uncommitted_entries = 4096;
-  /// Entries kept in memory before a compaction, so that a replica that is a
-  /// little behind needs no snapshot.
+  /// Entries before the compacted index that stay in memory, so that a follower
+  /// slightly behind needs no snapshot.
   std::size_t entries_kept_after_compaction = 256;
-  /// The leader replaces a silent voter by a replica of the same instance that
-  /// has no configuration: an instance that came back with an empty disk.
+  /// The leader replaces an unresponsive voter by a replica of the same
+  /// instance that has no configuration: an instance that returned with an
+  /// empty disk.
   bool replace_same_instance = true;
-  /// A learner this many entries behind the leader may become a voter.
+  /// Maximum lag behind the leader at which a learner may be promoted.
   std::size_t promotion_lag_entries = 64;
 };
 
@@ -66,43 +69,42 @@
 
 struct ReadResult {
   std::uint64_t id = 0;
-  /// True if the state after this output's entries is current as of the call
-  /// of Read(); false if the read must be repeated at another instance.
+  /// True if the state after this output's entries is at least as recent as the
+  /// call of Read(); false if the read must be retried at another instance.
   bool served = false;
 };
 
-/// Work for the caller, in this order:
+/// Work for the owner of the Raft object, in this order:
 /// 1. send `messages`;
 /// 2. if `batch` is not 0, pass the output to Persist() and sync the storage;
 ///    batches are persisted in order;
 /// 3. once that is durable, send `messages_after_sync` and call OnPersisted();
 ///    a batch without `must_sync` is done as soon as the batches before it are;
 /// 4. install `snapshot_to_install`, apply `committed`, then answer `reads`.
-/// This needs no
-///    sync: only entries that are durable here are handed out.
+///    This needs no sync, as only locally durable entries are delivered.
 /// Step 2 may run on another thread, which then owns the storage.
 struct RaftOutput {
   std::uint64_t batch = 0;
-  /// False if the batch holds nothing but a newer commit index.
+  /// False if the batch contains no more than a newer commit index.
   bool must_sync = false;
   std::optional<HardState> hard_state;
   /// Received from the leader or made by Compact().
   std::optional<Snapshot> save_snapshot;
-  /// The snapshot takes the place of the whole log, before `entries`.
+  /// `save_snapshot` replaces the whole log; `entries` follow it.
   bool snapshot_replaces_log = false;
-  /// Remove the entries from here on before appending; 0 for none.
+  /// Remove the entries from this index on before appending; 0 for none.
   LogIndex truncate_from = 0;
   std::vector<LogEntry> entries;
 
   std::vector<proto::RaftMessage> messages;
   std::vector<proto::RaftMessage> messages_after_sync;
 
-  /// Replaces the whole state of the application.
+  /// Replaces the entire state of the application.
   std::optional<Snapshot> snapshot_to_install;
-  /// Entries of all kinds, consecutive over all outputs.
+  /// Committed entries of all kinds, consecutive across outputs.
   std::vector<LogEntry> committed;
   std::vector<ReadResult> reads;
-  /// Set when role, term or leader changed.
+  /// True if the role or leader changed.
   bool role_changed = false;
 
   bool empty() const;
@@ -119,79 +121,82 @@
     kTransferring,
     kOverloaded,
     kTooLarge,
-    kConfigurationPending,  ///< An earlier change of members is not committed.
-    kInvalid,               ///< The members don't allow this change.
+    kConfigurationPending,  ///< An earlier membership change is not committed.
+    kInvalid,               ///< Not valid for the current members.
   };
   Refusal refusal = Refusal::kNone;
-  /// The proposal is committed if the entry handed out at `index` has `term`;
-  /// another term there means that it was lost.
+  /// The proposal is committed if the committed entry at `index` has this
+  /// `term`; if it has another term, the proposal was lost.
   LogIndex index = 0;
   Term term = 0;
 
   bool accepted() const { return refusal == Refusal::kNone; }
 };
 
-/// Messages that Step() refused, by reason.
+/// Number of messages that Step() rejected, by reason.
 struct RaftCounters {
-  std::uint64_t stale = 0;              ///< Older term or answered before.
-  std::uint64_t malformed = 0;          ///< Fields missing or inconsistent.
-  std::uint64_t non_member = 0;         ///< Sender or its group is not ours.
+  std::uint64_t stale = 0;              ///< Older term or superseded reply.
+  std::uint64_t malformed = 0;          ///< Missing or inconsistent fields.
+  std::uint64_t non_member = 0;         ///< Not a member, or of another group.
   std::uint64_t wrong_destination = 0;  ///< Addressed to another replica.
-  std::uint64_t unsafe = 0;  ///< Would change committed entries or break the
-                             ///< rule of one leader per term.
-  std::uint64_t leader_alive = 0;  ///< Election refused, a leader is heard.
+  std::uint64_t unsafe = 0;  ///< Would change committed entries or violate the
+                             ///< invariant of one leader per term.
+  std::uint64_t leader_alive = 0;  ///< Vote refused, the leader is alive.
 };
 
-/// Used by one thread. No call blocks or fails; `now` that goes back is taken
-/// as no time passing.
+/// Not thread safe. No call blocks or fails. If `now` goes backwards, no time
+/// passes.
 class Raft {
  public:
   Raft(RaftOptions options, const StoredState& stored, Time now);
 
   void Step(const proto::RaftMessage& message, Time now);
-  /// To be called at least once per half heartbeat.
+  /// Must be called at least twice per heartbeat interval.
   void Tick(Time now);
   ProposeResult Propose(std::string data, Time now);
 
-  /// Linearizable read: the result comes in an output's `reads`, served only
-  /// after a quorum confirmed this leader.
+  /// Linearizable read. The result is delivered in RaftOutput::reads, served
+  /// only after a quorum has confirmed this leader.
   void Read(std::uint64_t id, Time now);
 
-  /// Members change one at a time; each needs the former change committed.
+  /// Membership changes one replica at a time; each change requires that the
+  /// previous one is committed.
   ProposeResult AddLearner(const ReplicaId& learner, Time now);
-  /// The learner must have caught up.
+  /// The learner must have caught up; see promotion_lag_entries.
   ProposeResult Promote(const ReplicaId& learner, Time now);
   ProposeResult Remove(const ReplicaId& member, Time now);
-  /// Adds `replacement` as learner; the leader then promotes it and removes
-  /// `lost` by itself, also after a change of leader. Finished when
-  /// configuration().replacement is empty again.
+  /// Adds `replacement` as a learner. The leader, or its successor, then
+  /// promotes it and removes `lost`. Finished when configuration().replacement
+  /// is empty again.
   ProposeResult ReplaceVoter(const ReplicaId& lost,
                              const ReplicaId& replacement, Time now);
 
-  /// Asks `to`, or the voter that is furthest, to become leader. Proposals are
-  /// refused meanwhile. Ends by itself after an election timeout. Returns false
-  /// if this replica is not leader or there is no such voter.
+  /// Transfers leadership to `to`, or to the active voter with the highest
+  /// match index. Proposals are refused during the transfer, which is abandoned
+  /// after `election_timeout_min`. Returns false if this replica is not the
+  /// leader or there is no such active voter.
   bool TransferLeadership(const std::optional<ReplicaId>& to, Time now);
 
-  /// `state` is the application's state after entry `index` was applied.
-  /// Returns false if `index` was not handed out or is compacted already.
+  /// Compacts the log into a snapshot: `state` is the application's state after
+  /// it applied the entry at `index`. Returns false if that entry was not
+  /// delivered yet or is already compacted.
   bool Compact(LogIndex index, std::string state);
 
   RaftOutput TakeOutput();
-  /// All batches up to this one are durable.
+  /// All batches up to and including `batch` are durable.
   void OnPersisted(std::uint64_t batch, Time now);
-  /// The storage could not write. The replica neither leads nor stands for
-  /// election until the next OnPersisted(). The caller keeps the batch and
-  /// retries it.
+  /// Writing to the storage failed. The replica neither leads nor stands for
+  /// election until the next OnPersisted(). The caller must keep and retry the
+  /// batch.
   void OnPersistFailed(Time now);
 
   RaftRole role() const { return role_; }
   Term term() const { return hard_state_.term; }
-  /// Empty if unknown.
+  /// Empty if the leader is unknown.
   const ReplicaId& leader() const { return leader_; }
   const ReplicaId& replica() const { return replica_; }
   LogIndex commit_index() const { return hard_state_.commit; }
-  LogIndex applied_index() const { return delivered_; }
+  LogIndex applied_index() const { return delivered_index_; }
   LogIndex last_index() const { return log_.LastIndex(); }
   LogIndex first_kept_index() const { return log_.base_index() + 1; }
   /// The latest configuration in the log, committed or not.
@@ -199,42 +204,43 @@
   bool configuration_committed() const;
   const RaftCounters& counters() const { return counters_; }
   bool storage_failed() const { return storage_failed_; }
-  /// Replicas without a configuration that said hello to this one, for the
-  /// operator's choice of a replacement.
+  /// Replicas without a configuration that sent a hello to this one, with the
+  /// time of the last; candidates for a replacement.
   const std::map<ReplicaId, Time>& unconfigured_replicas() const {
     return unconfigured_replicas_;
   }
-  /// Term of an entry that is kept in memory; null for others.
+  /// Term of an entry in memory; nullopt for any other index.
   std::optional<Term> TermAt(LogIndex index) const {
     return log_.TermAt(index);
   }
-  /// Leader only: the highest entry known durable at `member`.
+  /// Leader only: index of the last entry known to be durable at `member`.
   LogIndex MatchIndex(const ReplicaId& member) const;
-  /// Leader only: time since each other member answered.
+  /// Leader only: time since the last reply of each other member.
   std::map<ReplicaId, Duration> TimeSinceLastReply() const;
 
  private:
   enum class Replication { kProbe, kPipeline, kSnapshot };
-  /// Why appends are sent: only if there are entries to send, also to tell a
-  /// new commit index, or also as a heartbeat.
-  enum class Occasion { kEntries, kCommit, kHeartbeat };
+  /// Whether an append without entries is sent too: never, to announce a new
+  /// commit index, or as a heartbeat.
+  enum class SendReason { kEntries, kCommit, kHeartbeat };
 
-  /// What the leader knows about one member.
+  /// Replication state of another member, as the leader tracks it.
   struct Progress {
-    /// Known durable at the member and equal to ours. Never decreases during a
-    /// term; `next` > `match`.
+    /// Last entry known to be durable at the member and identical to ours.
+    /// Never decreases during a term; `next` > `match`.
     LogIndex match = 0;
     LogIndex next = 1;
     Replication state = Replication::kProbe;
-    /// Probe and snapshot: a message is on its way, wait for the answer or the
-    /// next heartbeat.
-    bool waiting = false;
-    /// Last index of each append on its way, ascending.
+    /// For kProbe and kSnapshot: a message is in flight; the next one is sent
+    /// after its reply or at the next heartbeat.
+    bool awaiting_reply = false;
+    /// Last index of each append in flight, ascending.
     std::deque<LogIndex> inflight;
-    /// Highest round the member answered.
+    /// Highest heartbeat round the member replied to.
     std::uint64_t round = 0;
-    Time last_answer{};
-    /// The snapshot being sent. Kept by reference while ours is replaced.
+    Time last_reply{};
+    /// The snapshot being sent. Shared, as Compact() may replace `snapshot_`
+    /// during the transfer.
     std::shared_ptr<const Snapshot> snapshot;
     std::uint64_t snapshot_offset = 0;
   };
@@ -252,7 +258,7 @@
     std::uint64_t round = 0;
   };
 
-  /// A snapshot received in part.
+  /// A partially received snapshot.
   struct PartialSnapshot {
     LogIndex index = 0;
     Term term = 0;
@@ -260,27 +266,28 @@
     std::string data;
   };
 
-  void Advance(Time now);
+  void AdvanceClock(Time now);
   bool IsVoter() const { return configuration().IsVoter(replica_); }
   bool InLeaderLease() const;
-  bool HearsQuorum() const;
+  bool HasActiveQuorum() const;
   bool CommittedInOwnTerm() const;
   bool IsUpToDate(LogIndex last_index, Term last_term) const;
 
-  // Founding.
+  // Bootstrap.
   void SendHellos();
   void HandleHello(const ReplicaId& from, const proto::RaftHello& hello);
   void HandleHelloReply(const ReplicaId& from,
                         const proto::RaftHelloReply& reply);
-  void FoundIfAllAnswered();
+  void BootstrapIfAllReplied();
 
-  // Checks of incoming messages. Each returns false after counting the reason.
-  bool CheckShape(const proto::RaftMessage& message);
+  // Validation of incoming messages. Step() counts what IsWellFormed() and
+  // CheckSender() reject; CheckTerm() counts its own rejections.
+  bool IsWellFormed(const proto::RaftMessage& message);
   bool CheckSender(const proto::RaftMessage& message, const ReplicaId& from);
   bool CheckTerm(const proto::RaftMessage& message, const ReplicaId& from);
   bool StepHello(const proto::RaftMessage& message, const ReplicaId& from);
   void Dispatch(const proto::RaftMessage& message, const ReplicaId& from);
-  void AnswerStale(const proto::RaftMessage& message, const ReplicaId& from);
+  void ReplyToStale(const proto::RaftMessage& message, const ReplicaId& from);
 
   // Elections.
   void SetTerm(Term term);
@@ -298,9 +305,9 @@
                        const proto::RaftVoteReply& reply);
   void HandleTimeoutNow(const ReplicaId& from);
 
-  // Replication, leader's side.
-  void Broadcast(Occasion occasion);
-  void SendAppends(const ReplicaId& to, Progress& progress, Occasion occasion);
+  // Replication on the leader.
+  void Broadcast(SendReason reason);
+  void SendAppends(const ReplicaId& to, Progress& progress, SendReason reason);
   void SendAppend(const ReplicaId& to, LogIndex next,
                   const std::vector<LogEntry>& entries);
   void SendSnapshotChunk(const ReplicaId& to, Progress& progress);
@@ -320,7 +327,7 @@
   void ConfirmReads();
   void FailReads();
 
-  // Replication, follower's side.
+  // Replication on a follower.
   bool AcceptLeader(const ReplicaId& from);
   void HandleAppend(const ReplicaId& from, const proto::RaftAppend& append);
   void RefuseAppend(const ReplicaId& from, const proto::RaftAppend& append);
@@ -331,33 +338,33 @@
                      std::uint64_t offset, bool installed);
 
   // Log.
-  void AppendOwn(EntryKind kind, std::string data);
+  void AppendNewEntry(EntryKind kind, std::string data);
   void AppendEntry(LogEntry entry);
   void TruncateFrom(LogIndex first_removed);
   ProposeResult CheckPropose() const;
   ProposeResult ProposeConfiguration(RaftConfiguration next);
   ProposeResult Refuse(ProposeResult::Refusal refusal) const;
   void SyncProgressWithConfiguration();
-  void HandOutCommitted(RaftOutput& output);
+  void DeliverCommitted(RaftOutput& output);
   void FillBatch(RaftOutput& output);
 
   proto::RaftMessage NewMessage(const ReplicaId& to) const;
 
   RaftOptions options_;
   Random random_;
-  /// Never goes back.
+  /// Never goes backwards.
   Time now_;
   ReplicaId replica_;
 
   /// `term` and `commit` never decrease. `vote` is set at most once per term.
   HardState hard_state_;
-  /// Contains every entry from the base on. Entries up to `hard_state_.commit`
-  /// never change.
+  /// Contains every entry after its base index. Entries up to
+  /// `hard_state_.commit` never change.
   RaftLog log_;
-  /// Latest snapshot; covers at least the entries that `log_` dropped.
+  /// Latest snapshot; covers at least the entries compacted from `log_`.
   std::shared_ptr<const Snapshot> snapshot_;
-  /// Configurations by the index of their entry, from the one that the
-  /// snapshot holds on. The last is in force as soon as it is in the log.
+  /// Configurations by the index of their entry, starting with that of the
+  /// snapshot. The last one is in effect as soon as it is in the log.
   std::map<LogIndex, RaftConfiguration> configurations_;
 
   RaftRole role_ = RaftRole::kFollower;
@@ -368,7 +375,7 @@
   Time next_hello_;
   std::map<ReplicaId, bool> votes_;
 
-  /// Leader only; one for each other member.
+  /// Leader only; one element for each other member.
   std::map<ReplicaId, Progress> progress_;
   std::uint64_t round_ = 0;
   bool heartbeat_due_ = false;
@@ -380,30 +387,32 @@
 
   PartialSnapshot partial_snapshot_;
 
-  /// Entries up to here are durable here. At most the last index.
-  LogIndex durable_ = 0;
-  /// Entries up to here were handed out as committed, or are part of the
-  /// snapshot that was handed out to be installed. At most the commit index.
-  LogIndex delivered_ = 0;
-  /// Entries up to here were handed out to be written.
-  LogIndex handed_over_ = 0;
-  HardState handed_over_state_;
+  /// Entries up to this index are durable on this replica. At most the last
+  /// index.
+  LogIndex durable_index_ = 0;
+  /// Entries up to this index were delivered as committed, or are part of the
+  /// snapshot that was delivered for installation. At most the commit index.
+  LogIndex delivered_index_ = 0;
+  /// Entries up to this index need no further batch: they are in an earlier
+  /// one, in the snapshot or were loaded from the storage.
+  LogIndex batched_index_ = 0;
+  HardState batched_state_;
   std::uint64_t next_batch_ = 1;
-  /// Batches before this one were written before a truncation or a snapshot;
-  /// they say nothing about what is durable now.
+  /// Batches before this one precede a truncation or an installed snapshot, so
+  /// their completion does not make current entries durable.
   std::uint64_t first_valid_batch_ = 1;
   std::deque<Batch> batches_;
   bool storage_failed_ = false;
 
-  /// Founders that answered that they have no configuration.
-  std::map<InstanceId, ReplicaId> unconfigured_founders_;
-  bool founding_forbidden_ = false;
-  /// Instances that hellos go to: the founders and the voters that answers
-  /// named.
+  /// Initial voters that replied that they have no configuration.
+  std::map<InstanceId, ReplicaId> unconfigured_initial_voters_;
+  bool bootstrap_forbidden_ = false;
+  /// Instances to send hellos to: the initial voters and the voters named in
+  /// hello replies.
   std::set<InstanceId> hello_targets_;
   std::map<ReplicaId, Time> unconfigured_replicas_;
 
-  /// Collects until TakeOutput().
+  /// Accumulates until TakeOutput().
   RaftOutput output_;
   RaftCounters counters_;
 };
--- a/servers/consensus/raft_election.cc
+++ b/servers/consensus/raft_election.cc
@@ -43,16 +43,16 @@
 }
 
 bool Raft::InLeaderLease() const {
-  if (role_ == RaftRole::kLeader) return HearsQuorum();
+  if (role_ == RaftRole::kLeader) return HasActiveQuorum();
   if (leader_.empty() || !last_leader_contact_) return false;
   return now_ - *last_leader_contact_ < options_.election_timeout_min;
 }
 
-bool Raft::HearsQuorum() const {
+bool Raft::HasActiveQuorum() const {
   std::size_t heard = IsVoter() ? 1 : 0;
   for (const auto& [id, progress] : progress_) {
     if (!configuration().IsVoter(id)) continue;
-    if (now_ - progress.last_answer < options_.election_timeout_min) ++heard;
+    if (now_ - progress.last_reply < options_.election_timeout_min) ++heard;
   }
   return heard >= configuration().Quorum();
 }
@@ -167,7 +167,7 @@
   SyncProgressWithConfiguration();
   heartbeat_due_ = true;
   // Entries of earlier terms commit only together with one of this term.
-  AppendOwn(EntryKind::kNoOperation, {});
+  AppendNewEntry(EntryKind::kNoOperation, {});
 }
 
 void Raft::HandleTimeoutNow(const ReplicaId& from) {
@@ -180,12 +180,12 @@
 }
 
 bool Raft::TransferLeadership(const std::optional<ReplicaId>& to, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   if (role_ != RaftRole::kLeader) return false;
   const ReplicaId* best = nullptr;
   for (const auto& [id, progress] : progress_) {
     if (!configuration().IsVoter(id)) continue;
-    if (now_ - progress.last_answer >= options_.election_timeout_min) continue;
+    if (now_ - progress.last_reply >= options_.election_timeout_min) continue;
     if (to && id != *to) continue;
     if (best == nullptr || progress.match > progress_.at(*best).match) {
       best = &id;
--- a/servers/consensus/raft_replication.cc
+++ b/servers/consensus/raft_replication.cc
@@ -12,26 +12,26 @@
 
 // --- Leader's side ---------------------------------------------------------
 
-void Raft::Broadcast(Occasion occasion) {
-  for (auto& [id, progress] : progress_) SendAppends(id, progress, occasion);
+void Raft::Broadcast(SendReason reason) {
+  for (auto& [id, progress] : progress_) SendAppends(id, progress, reason);
 }
 
 void Raft::SendAppends(const ReplicaId& to, Progress& progress,
-                       Occasion occasion) {
-  const bool heartbeat = occasion == Occasion::kHeartbeat;
+                       SendReason reason) {
+  const bool heartbeat = reason == SendReason::kHeartbeat;
   if (progress.state != Replication::kSnapshot &&
       progress.next <= log_.base_index()) {
     BeginSnapshot(progress);
   }
   if (progress.state == Replication::kSnapshot) {
-    if (heartbeat || !progress.waiting) SendSnapshotChunk(to, progress);
+    if (heartbeat || !progress.awaiting_reply) SendSnapshotChunk(to, progress);
     return;
   }
   if (progress.state == Replication::kProbe) {
-    if (progress.waiting && !heartbeat) return;
+    if (progress.awaiting_reply && !heartbeat) return;
     // A repeated probe carries no entries: the member may be down for long.
-    const bool repeated = progress.waiting;
-    progress.waiting = true;
+    const bool repeated = progress.awaiting_reply;
+    progress.awaiting_reply = true;
     SendAppend(to, progress.next,
                repeated ? std::vector<LogEntry>{}
                         : log_.Slice(progress.next, options_.max_append_bytes));
@@ -46,7 +46,7 @@
     progress.inflight.push_back(entries.back().index);
     sent = true;
   }
-  if (!sent && occasion != Occasion::kEntries) {
+  if (!sent && reason != SendReason::kEntries) {
     SendAppend(to, progress.next, {});
   }
 }
@@ -69,7 +69,7 @@
   CheckInvariant(snapshot_ && snapshot_->index >= log_.base_index(),
                  "a snapshot covers the entries that were dropped");
   progress.state = Replication::kSnapshot;
-  progress.waiting = false;
+  progress.awaiting_reply = false;
   progress.inflight.clear();
   progress.snapshot = snapshot_;
   progress.snapshot_offset = 0;
@@ -77,7 +77,7 @@
 
 void Raft::SendSnapshotChunk(const ReplicaId& to, Progress& progress) {
   const Snapshot& snapshot = *progress.snapshot;
-  progress.waiting = true;
+  progress.awaiting_reply = true;
   proto::RaftMessage message = NewMessage(to);
   auto* chunk = message.mutable_snapshot_chunk();
   chunk->set_index(snapshot.index);
@@ -104,7 +104,7 @@
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now_;
+  progress.last_reply = now_;
   progress.round = std::max(progress.round, reply.round());
   if (reply.success()) {
     OnMatch(from, progress, reply.match_index());
@@ -131,7 +131,7 @@
           ? hint
           : log_.LastIndexWithTermAtMost(reply.hint_term(), hint);
   progress.state = Replication::kProbe;
-  progress.waiting = false;
+  progress.awaiting_reply = false;
   progress.inflight.clear();
   progress.next = std::max(progress.match, agreed) + 1;
 }
@@ -148,7 +148,7 @@
                                match >= progress.snapshot->index;
   if (probe_answered || snapshot_passed) {
     progress.state = Replication::kPipeline;
-    progress.waiting = false;
+    progress.awaiting_reply = false;
     progress.snapshot.reset();
     progress.inflight.clear();
     progress.next = progress.match + 1;
@@ -172,7 +172,7 @@
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now_;
+  progress.last_reply = now_;
   progress.round = std::max(progress.round, reply.round());
   if (reply.installed()) {
     OnMatch(from, progress, reply.index());
@@ -185,7 +185,7 @@
     return;
   }
   progress.snapshot_offset = reply.offset();
-  progress.waiting = false;
+  progress.awaiting_reply = false;
 }
 
 void Raft::MaybeCommit() {
@@ -215,7 +215,7 @@
 }
 
 void Raft::Read(std::uint64_t id, Time now) {
-  Advance(now);
+  AdvanceClock(now);
   // Before an entry of this term is committed, the commit index may be behind
   // what an earlier leader has confirmed.
   if (role_ != RaftRole::kLeader || !CommittedInOwnTerm()) {
@@ -234,7 +234,7 @@
   }
   std::ranges::sort(rounds, std::greater<>());
   const std::uint64_t confirmed = rounds[configuration().Quorum() - 1];
-  const LogIndex applied = std::min(hard_state_.commit, durable_);
+  const LogIndex applied = std::min(hard_state_.commit, durable_index_);
   while (!pending_reads_.empty() && pending_reads_.front().round <= confirmed &&
          pending_reads_.front().index <= applied) {
     output_.reads.push_back({pending_reads_.front().id, true});
@@ -380,19 +380,19 @@
     log_.CompactTo(index);
     // Another snapshot that replaces the log was not handed over yet; this one
     // takes its place, and the entries to write start after it.
-    if (output_.snapshot_replaces_log) handed_over_ = index;
+    if (output_.snapshot_replaces_log) batched_index_ = index;
   } else {
     configurations_.clear();
     log_.Reset(index, snapshot.term);
-    durable_ = 0;
-    handed_over_ = index;
+    durable_index_ = 0;
+    batched_index_ = index;
     first_valid_batch_ = next_batch_;
     output_.truncate_from = 0;
     output_.snapshot_replaces_log = true;
   }
   configurations_[index] = snapshot.configuration;
   hard_state_.commit = index;
-  delivered_ = index;
+  delivered_index_ = index;
   output_.save_snapshot = snapshot;
   output_.snapshot_to_install = snapshot;
   snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
--- a/servers/consensus/raft_types.h
+++ b/servers/consensus/raft_types.h
@@ -1,4 +1,4 @@
-// Value types of the replicated log and their protobuf forms.
+// Value types of the replicated log and their conversions to protobuf.
 #ifndef SERVERS_CONSENSUS_RAFT_TYPES_H_
 #define SERVERS_CONSENSUS_RAFT_TYPES_H_
 
@@ -14,14 +14,14 @@
 
 namespace cassiausher {
 
-/// Position in the log; the first entry has index 1, 0 means none.
+/// Position in the log. The first entry has index 1; 0 means none.
 using LogIndex = std::uint64_t;
 /// Election term; 0 before the first election.
 using Term = std::uint64_t;
 
-/// One storage of one instance. An instance whose disk was lost comes back
-/// with another storage number, so that its votes and acknowledgements are not
-/// taken for those of the replica that was lost.
+/// Identifies a replica by its instance and storage ID. An instance that lost
+/// its disk returns with a new storage ID, so that its votes and
+/// acknowledgements are not mistaken for those of the lost replica.
 struct ReplicaId {
   InstanceId instance;
   std::uint64_t storage = 0;
@@ -30,25 +30,26 @@
   auto operator<=>(const ReplicaId&) const = default;
 };
 
-/// Text form for logs and findings: `name/storage`, storage in hexadecimal.
+/// Formats a replica as `INSTANCE/STORAGE`, with the storage ID in hexadecimal.
 std::string ToString(const ReplicaId& replica);
 
-/// An unfinished replacement of a voter.
+/// Replacement of a voter that is in progress.
 struct Replacement {
   ReplicaId lost;
   ReplicaId replacement;
   bool operator==(const Replacement&) const = default;
 };
 
-/// Members of the group. Invariants: no replica is both voter and learner; two
-/// successive configurations differ by at most one voter, so that any two of
-/// their quorums have a member in common.
+/// Members of the Raft group. Invariants: no replica is both voter and learner;
+/// successive configurations differ by at most one voter, so that each quorum
+/// of one overlaps each quorum of the other.
 struct RaftConfiguration {
-  /// Identifies the log; 0 means that there is no configuration yet.
+  /// ID of the group and its log; 0 if there is no configuration yet.
   std::uint64_t group = 0;
   std::set<ReplicaId> voters;
   std::set<ReplicaId> learners;
-  /// Part of the replicated configuration, so that a new leader continues it.
+  /// Part of the replicated configuration, so that a new leader continues the
+  /// replacement.
   std::optional<Replacement> replacement;
 
   bool IsVoter(const ReplicaId& id) const { return voters.contains(id); }
@@ -69,20 +70,20 @@
   bool operator==(const LogEntry&) const = default;
 };
 
-/// State that a replica must not forget. `term` never decreases; `vote` does
+/// Raft's persistent state besides the log. `term` never decreases; `vote` does
 /// not change within a term once it is set.
 struct HardState {
   Term term = 0;
   ReplicaId vote;
-  /// Known lower bound of the commit index; need not be synced.
+  /// Lower bound of the commit index; need not be synced.
   LogIndex commit = 0;
-  /// Storage number of this replica; 0 until the first start.
+  /// Storage ID of this replica; 0 before the first start.
   std::uint64_t storage = 0;
   bool operator==(const HardState&) const = default;
 };
 
-/// State after the entry `index` was applied. Only committed entries are part
-/// of a snapshot.
+/// State of the application after it applied the entry at `index`. A snapshot
+/// contains committed entries only.
 struct Snapshot {
   LogIndex index = 0;
   Term term = 0;
@@ -99,13 +100,13 @@
 
 ReplicaId FromProto(const proto::ReplicaId& replica);
 HardState FromProto(const proto::RaftHardState& state);
-/// Null if the message breaks an invariant of the type.
+/// These return nullopt if the message violates an invariant of the type.
 std::optional<RaftConfiguration> FromProto(
     const proto::RaftConfiguration& configuration);
 std::optional<LogEntry> FromProto(const proto::RaftEntry& entry);
 std::optional<Snapshot> FromProto(const proto::RaftSnapshot& snapshot);
 
-/// Configuration in the data of a configuration entry; null if malformed.
+/// Parses the data of a configuration entry; nullopt if malformed.
 std::optional<RaftConfiguration> ParseConfiguration(const std::string& data);
 
 }  // namespace cassiausher
