--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -42,16 +42,16 @@
   std::filesystem::create_directories(LogFolder(settings_), error);
   RaftOptions options;
   options.self = InstanceId(settings_.ip);
-  options.new_storage = NewStorageNumber();
+  options.new_storage_id = NewStorageNumber();
   options.seed = NewStorageNumber();
-  options.may_found = may_found;
+  options.may_bootstrap = may_found;
   options.heartbeat = kHeartbeat;
   options.election_timeout_min = kElectionTimeoutMin;
   options.election_timeout_max = kElectionTimeoutMax;
   options.max_entry_bytes = kMaxEntryBytes;
-  options.kept_after_compaction = kEntriesPerSnapshot;
+  options.entries_kept_after_compaction = kEntriesPerSnapshot;
   for (const SocketAddress& seed : settings_.seeds) {
-    options.founders.insert(InstanceId(seed.ip));
+    options.initial_voters.insert(InstanceId(seed.ip));
   }
   host_ = std::make_unique<RaftHost>(context_, metrics_, *this,
                                      [] { return BootTimeNow(); });
@@ -204,8 +204,8 @@
   Raft& raft = host_->raft();
   if (!raft.configuration_committed()) return;
   VoterView view{.configuration = raft.configuration(),
-                 .silence = raft.Silence()};
-  for (const auto& [replica, heard_at] : raft.unconfigured()) {
+                 .silence = raft.TimeSinceLastReply()};
+  for (const auto& [replica, heard_at] : raft.unconfigured_replicas()) {
     view.unconfigured[replica] = now - heard_at;
   }
   const VoterStep step = PlanVoters({}, view);
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -39,11 +39,11 @@
 std::string ReplicaHost::Start(std::unique_ptr<LogStorage> storage) {
   RaftOptions options;
   options.self = settings_.instance;
-  options.new_storage = NewStorageNumber();
+  options.new_storage_id = NewStorageNumber();
   options.seed = NewStorageNumber();
   options.heartbeat = kHeartbeat;
   for (const PeerSettings& peer : settings_.peers) {
-    if (peer.voter) options.founders.insert(peer.instance);
+    if (peer.voter) options.initial_voters.insert(peer.instance);
   }
   return host_.Start(std::move(options), std::move(storage));
 }
--- a/tests/consensus/group.h
+++ b/tests/consensus/group.h
@@ -37,11 +37,11 @@
 
   void Start(const std::string& name, std::uint64_t storage) {
     RaftOptions options{.self = InstanceId(name),
-                        .new_storage = storage,
-                        .founders = founders_,
+                        .new_storage_id = storage,
+                        .initial_voters = founders_,
                         .seed = std::hash<std::string>{}(name) + storage,
                         .snapshot_chunk_bytes = 4,
-                        .kept_after_compaction = 0,
+                        .entries_kept_after_compaction = 0,
                         .replace_same_instance = replace_same_instance};
     nodes[name] = {std::make_unique<Raft>(options, StoredState{}, now)};
   }
@@ -110,7 +110,7 @@
       network_.emplace_back(name, message);
     }
     if (output.batch != 0) node.raft->OnPersisted(output.batch, now);
-    if (output.install) node.installed = output.install;
+    if (output.snapshot_to_install) node.installed = output.snapshot_to_install;
     for (auto& entry : output.committed) node.applied.push_back(entry);
     for (auto& read : output.reads) node.reads.push_back(read);
     return true;
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -195,7 +195,7 @@
 
 void Simulation::AddMachine(const std::string& name) {
   machines_[name] = std::make_unique<Machine>();
-  machines_[name]->new_storage = next_storage_++;
+  machines_[name]->new_storage_id = next_storage_++;
   Start(name);
 }
 
@@ -221,8 +221,8 @@
     Violate(name + " forgot its term");
   }
   const RaftOptions options{.self = InstanceId(name),
-                            .new_storage = machine.new_storage,
-                            .founders = Founders(),
+                            .new_storage_id = machine.new_storage_id,
+                            .initial_voters = Founders(),
                             .heartbeat = Milliseconds(40),
                             .election_timeout_min = Milliseconds(200),
                             .election_timeout_max = Milliseconds(400),
@@ -230,7 +230,7 @@
                             .max_append_bytes = 20,
                             .max_inflight = 4,
                             .snapshot_chunk_bytes = 8,
-                            .kept_after_compaction = random_.Below(10),
+                            .entries_kept_after_compaction = random_.Below(10),
                             .replace_same_instance = faults_.automatic,
                             .promotion_lag_entries = 4};
   process->raft = std::make_unique<Raft>(options, stored, LocalTime(machine));
@@ -345,10 +345,10 @@
   RaftOutput output = process.raft->TakeOutput();
   Send(machine, output.messages);
   if (process.raft->role() == RaftRole::kLeader) CheckLeader(*process.raft);
-  if (output.install) {
-    process.registers = LoadRegisters(output.install->data);
-    process.applied = output.install->index;
-    process.compacted = output.install->index;
+  if (output.snapshot_to_install) {
+    process.registers = LoadRegisters(output.snapshot_to_install->data);
+    process.applied = output.snapshot_to_install->index;
+    process.compacted = output.snapshot_to_install->index;
     ++counts_.snapshots_installed;
   }
   for (const LogEntry& entry : output.committed) Apply(name, entry);
