--- a/servers/ownership/electorate.cc
+++ b/servers/ownership/electorate.cc
@@ -21,8 +21,8 @@
 }
 
 InstanceId WitnessOf(const DataCentreId& data_centre,
-                     const std::set<InstanceId>& elsewhere) {
-  const auto order = ByScore({data_centre, ServiceId()}, elsewhere);
+                     const std::set<InstanceId>& remote_instances) {
+  const auto order = ByScore({data_centre, ServiceId()}, remote_instances);
   return order.empty() ? InstanceId() : order.front();
 }
 
@@ -61,29 +61,29 @@
   }
   seen_.insert(present.begin(), present.end());
   std::set<InstanceId> next = members_;
-  if (starting || MajorityLive()) {
+  if (starting || HasLiveMajority()) {
     next.insert(present.begin(), present.end());
     for (const InstanceId& id : members_) {
       const bool gone = seen_.count(id) > 0 && present.count(id) == 0;
       if (!gone) continue;
       next.erase(id);
-      forgotten_.insert(id);
+      reclaimed_.insert(id);
     }
   }
-  for (const InstanceId& id : live_) forgotten_.erase(id);
+  for (const InstanceId& id : live_) reclaimed_.erase(id);
   return Replace(std::move(next));
 }
 
-bool Electorate::Unite(const std::set<InstanceId>& others, bool starting) {
-  if (!starting && !MajorityLive()) return false;
+bool Electorate::Merge(const std::set<InstanceId>& others, bool starting) {
+  if (!starting && !HasLiveMajority()) return false;
   std::set<InstanceId> next = members_;
   for (const InstanceId& id : others) {
-    if (forgotten_.count(id) == 0) next.insert(id);
+    if (reclaimed_.count(id) == 0) next.insert(id);
   }
   return Replace(std::move(next));
 }
 
-bool Electorate::MajorityLive() const {
+bool Electorate::HasLiveMajority() const {
   const auto live = std::count_if(
       members_.begin(), members_.end(),
       [this](const InstanceId& id) { return live_.count(id) > 0; });
--- a/servers/ownership/electorate.h
+++ b/servers/ownership/electorate.h
@@ -1,9 +1,10 @@
-// The instances whose votes decide about the leases of a data centre's pools.
+// The electorate: the instances that vote on the leases of a data centre's
+// pools.
 //
-// Dead and departed instances stay in it until membership reclaims them: a side
-// of a partition must not become a majority by declaring the other side dead.
-// It changes by joins and reclaimed members, and only while a majority of it is
-// live in this instance's view.
+// Dead and departed instances stay in it until membership reclaims them, so
+// that one side of a partition can't become a majority by declaring the other
+// side dead. It changes when members join or are reclaimed, and only while a
+// majority of it is live in this instance's view.
 #ifndef SERVERS_OWNERSHIP_ELECTORATE_H_
 #define SERVERS_OWNERSHIP_ELECTORATE_H_
 
@@ -32,33 +33,34 @@
   InstanceId id;
   Incarnation started{0};
   bool live = true;
-  /// Gets no pools: it drains or shuts down.
+  /// Drains or shuts down, so it gets no pools.
   bool leaving = false;
 };
 
-/// What Ownership needs of a membership view.
+/// The part of a membership view that Ownership uses.
 struct OwnershipView {
   /// Every member of this data centre that is not yet reclaimed. One that left
   /// counts as dead: it may start again on the other side of a partition.
   std::vector<OwnershipMember> members;
 };
 
-/// Payload key of an instance that drains.
+/// Payload key that an instance sets while it drains.
 inline constexpr char kDrainingKey[] = "draining";
 
 OwnershipView ViewOf(const std::vector<MemberRow>& rows,
                      const DataCentreId& data_centre);
 
-/// The instance of another data centre that is the witness of this one, given
-/// those named in the settings. All instances of the data centre must name the
-/// same. Empty if none is named.
+/// Chooses the witness of a data centre among the instances of other data
+/// centres named in the settings. All instances of the data centre must name
+/// the same ones. Empty if none is named.
 InstanceId WitnessOf(const DataCentreId& data_centre,
-                     const std::set<InstanceId>& elsewhere);
+                     const std::set<InstanceId>& remote_instances);
 
-/// Rendezvous score of an instance for a pool; the lowest is first in line.
+/// Rendezvous score of an instance for a pool; the lowest is the preferred
+/// owner.
 std::uint64_t PoolScore(const PoolId& pool, const InstanceId& instance);
 
-/// `candidates` by rising score.
+/// `candidates` in ascending order of score.
 std::vector<InstanceId> ByScore(const PoolId& pool,
                                 const std::set<InstanceId>& candidates);
 
@@ -71,27 +73,31 @@
   Electorate(const InstanceId& self, const std::set<InstanceId>& voters,
              InstanceId witness);
 
-  /// Returns true if the electorate changed. While `starting` it follows the
-  /// view freely.
+  /// Returns true if the voters changed. While `starting`, no live majority is
+  /// needed.
   bool Update(const OwnershipView& view, bool starting);
-  /// Adds what another instance counts; returns true on a change.
-  bool Unite(const std::set<InstanceId>& others, bool starting);
+  /// Adds the members that another instance counts; returns true if the voters
+  /// changed.
+  bool Merge(const std::set<InstanceId>& others, bool starting);
 
-  /// With the witness if there are exactly two members.
+  /// The members, and the witness if there are exactly two members.
   const std::set<InstanceId>& voters() const { return voters_; }
   const std::set<InstanceId>& members() const { return members_; }
+  /// Hash of the voters, to detect that two instances count different ones.
   std::uint32_t hash() const { return hash_; }
 
  private:
-  bool MajorityLive() const;
+  bool HasLiveMajority() const;
   bool Replace(std::set<InstanceId> members);
 
   std::set<InstanceId> members_;
   std::set<InstanceId> voters_;
   std::set<InstanceId> live_;
-  /// Reclaimed members; a slower instance's list doesn't bring them back.
-  std::set<InstanceId> forgotten_;
-  /// Members once seen; only these are forgotten when the view drops them.
+  /// Reclaimed members, which Merge() must not add again from an instance that
+  /// hasn't reclaimed them yet.
+  std::set<InstanceId> reclaimed_;
+  /// Members that any view contained; only these are removed when the view no
+  /// longer does.
   std::set<InstanceId> seen_;
   InstanceId witness_;
   std::uint32_t hash_ = 0;
--- a/servers/ownership/endpoint_directory.cc
+++ b/servers/ownership/endpoint_directory.cc
@@ -37,16 +37,16 @@
   return false;
 }
 
-bool EndpointDirectory::Credible(const EndpointInfo& info) {
-  std::uint64_t* absurd = &counters_.absurd;
+bool EndpointDirectory::CheckPlausible(const EndpointInfo& info) {
+  std::uint64_t* implausible = &counters_.implausible;
   if (info.slots < 1 || info.slots > options_.slots_maximum) {
-    return Reject(absurd, info.id,
+    return Reject(implausible, info.id,
                   fmt::format("slots {} is not within 1 to {}", info.slots,
                               options_.slots_maximum));
   }
   if (info.kv_capacity < Bytes(0) ||
       info.kv_capacity > options_.kv_capacity_maximum) {
-    return Reject(absurd, info.id,
+    return Reject(implausible, info.id,
                   fmt::format("kv_capacity_bytes {} is not within 0 to {}",
                               info.kv_capacity.value(),
                               options_.kv_capacity_maximum.value()));
@@ -54,7 +54,7 @@
   // The negated form also rejects NaN.
   if (!(info.prefill_tokens_per_second >= 0 &&
         info.prefill_tokens_per_second <= options_.prefill_rate_maximum)) {
-    return Reject(absurd, info.id,
+    return Reject(implausible, info.id,
                   fmt::format("prefill_tokens_per_second {} is not within 0 to "
                               "{}",
                               info.prefill_tokens_per_second,
@@ -62,13 +62,13 @@
   }
   if (info.kv_bytes_per_token < Bytes(0) ||
       info.kv_bytes_per_token > options_.kv_bytes_per_token_maximum) {
-    return Reject(absurd, info.id,
+    return Reject(implausible, info.id,
                   fmt::format("kv_bytes_per_token {} is not within 0 to {}",
                               info.kv_bytes_per_token.value(),
                               options_.kv_bytes_per_token_maximum.value()));
   }
   if (info.incarnation.value() > kIncarnationMaximum) {
-    return Reject(absurd, info.id,
+    return Reject(implausible, info.id,
                   fmt::format("incarnation {} leaves no room for a restart",
                               info.incarnation.value()));
   }
@@ -93,7 +93,7 @@
   if (!IsUrl(info.url)) {
     return Reject(&counters_.malformed, info.id, "url is not an HTTP URL");
   }
-  if (!Credible(info)) return false;
+  if (!CheckPlausible(info)) return false;
   const auto found = entries_.find(info.id);
   if (found == entries_.end()) {
     if (entries_.size() >= options_.endpoints_maximum) {
@@ -187,14 +187,15 @@
   }
 }
 
-EndpointInfo EndpointDirectory::Effective(const EndpointInfo& info) const {
+EndpointInfo EndpointDirectory::WithOperatorDrain(
+    const EndpointInfo& info) const {
   EndpointInfo effective = info;
   effective.departing = info.departing || drained_.count(info.id) > 0;
   return effective;
 }
 
 void EndpointDirectory::Emit(EndpointEventKind kind, const EndpointInfo& info) {
-  events_.push_back({kind, Effective(info)});
+  events_.push_back({kind, WithOperatorDrain(info)});
 }
 
 Time EndpointDirectory::Due(const Entry& entry) const {
@@ -208,7 +209,7 @@
   }
 }
 
-void EndpointDirectory::Enter(Entry& entry, EndpointState state, Time now) {
+void EndpointDirectory::SetState(Entry& entry, EndpointState state, Time now) {
   entry.state = state;
   entry.since = now;
   const EndpointEventKind kind =
@@ -226,13 +227,13 @@
       continue;
     }
     if (now >= Due(entry) && entry.state == EndpointState::kAlive) {
-      Enter(entry, EndpointState::kSuspect, now);
+      SetState(entry, EndpointState::kSuspect, now);
     }
     if (now >= Due(entry) && entry.state == EndpointState::kSuspect) {
-      Enter(entry,
-            entry.info.departing ? EndpointState::kDeparted
-                                 : EndpointState::kDead,
-            now);
+      SetState(entry,
+               entry.info.departing ? EndpointState::kDeparted
+                                    : EndpointState::kDead,
+               now);
     }
     ++place;
   }
@@ -251,7 +252,7 @@
 std::vector<DirectoryRow> EndpointDirectory::Endpoints() const {
   std::vector<DirectoryRow> rows;
   for (const auto& [id, entry] : entries_) {
-    rows.push_back({.info = Effective(entry.info),
+    rows.push_back({.info = WithOperatorDrain(entry.info),
                     .state = entry.state,
                     .last_announced = entry.last_announced,
                     .since = entry.since,
--- a/servers/ownership/endpoint_directory.h
+++ b/servers/ownership/endpoint_directory.h
@@ -1,8 +1,9 @@
-// The endpoints of one pool as they announce themselves to its owner.
+// Registry of the endpoints of one pool, as they announce themselves to its
+// owner.
 //
-// Announcements are input from outside: they may repeat, arrive late, come
-// from an earlier run, contradict each other or name absurd figures. What is
-// rejected is counted and leaves a finding.
+// Announcements are untrusted input: they may be repeated, late, from an
+// earlier run, contradictory or implausible. What is rejected is counted and
+// recorded as a finding.
 #ifndef SERVERS_OWNERSHIP_ENDPOINT_DIRECTORY_H_
 #define SERVERS_OWNERSHIP_ENDPOINT_DIRECTORY_H_
 
@@ -25,15 +26,16 @@
 struct EndpointDirectoryOptions {
   DataCentreId data_centre;
   ServiceId service;
-  /// Endpoints announce each second.
+  /// Time since the last announcement; endpoints announce themselves each
+  /// second.
   Duration suspect_after = Milliseconds(1500);
   Duration dead_after = Milliseconds(3500);
-  /// A dead endpoint's incarnation is remembered, to reject late
-  /// announcements of it.
+  /// A dead endpoint's incarnation is kept this long, to reject late
+  /// announcements of that run.
   Duration forget_after = Seconds(600);
   std::size_t endpoints_maximum = 1000;
   std::size_t findings_maximum = 64;
-  /// Greatest credible figures of one endpoint.
+  /// Greatest plausible values of one endpoint.
   int slots_maximum = 4096;
   Bytes kv_capacity_maximum{std::int64_t{1} << 46};
   double prefill_rate_maximum = 1e8;
@@ -49,9 +51,10 @@
   kUpserted,
   kSuspect,
   kAlive,
-  /// Runs again without its sessions: remove it, then pass `info` on.
+  /// Restarted and lost its sessions: remove it, then pass `info` to the
+  /// policy.
   kRestarted,
-  /// Gone as announced, or silent for too long: remove it.
+  /// Silent for too long, after announcing its departure or without: remove it.
   kDeparted,
   kDead,
 };
@@ -65,6 +68,7 @@
   EndpointInfo info;
   EndpointState state = EndpointState::kAlive;
   Time last_announced{};
+  /// When `state` was entered.
   Time since{};
   bool drained_by_operator = false;
 };
@@ -73,15 +77,15 @@
   std::uint64_t accepted = 0;
   std::uint64_t wrong_pool = 0;
   std::uint64_t malformed = 0;
-  std::uint64_t absurd = 0;
+  std::uint64_t implausible = 0;
   std::uint64_t stale_incarnation = 0;
   std::uint64_t contradictory = 0;
   std::uint64_t over_capacity = 0;
   std::uint64_t reports_rejected = 0;
 };
 
-/// Not thread safe. Drive Tick at NextWakeup() at the latest, and take the
-/// events after each call.
+/// Not thread safe. Call Tick() at NextWakeup() at the latest, and TakeEvents()
+/// after each call.
 class EndpointDirectory {
  public:
   explicit EndpointDirectory(EndpointDirectoryOptions options)
@@ -92,7 +96,7 @@
   bool Announce(const EndpointInfo& info, Time now);
   /// Returns the report if it is to be passed to the policy.
   std::optional<LoadReport> Report(const LoadReport& report, Time now);
-  /// The endpoints an operator drains, as configured; replaces the last set.
+  /// Replaces the set of endpoints that the configuration drains.
   void SetDrained(const std::set<EndpointId>& drained, Time now);
   void Tick(Time now);
   Time NextWakeup() const;
@@ -107,7 +111,7 @@
 
  private:
   struct Entry {
-    /// As announced; Effective() adds the operator's drain.
+    /// As announced, without the operator's drain.
     EndpointInfo info;
     EndpointState state = EndpointState::kAlive;
     Time last_announced{};
@@ -119,12 +123,14 @@
     }
   };
 
+  /// Counts the rejection and records a finding; returns false.
   bool Reject(std::uint64_t* counter, const EndpointId& id,
               const std::string& reason);
-  bool Credible(const EndpointInfo& info);
-  EndpointInfo Effective(const EndpointInfo& info) const;
-  void Enter(Entry& entry, EndpointState state, Time now);
+  bool CheckPlausible(const EndpointInfo& info);
+  EndpointInfo WithOperatorDrain(const EndpointInfo& info) const;
+  void SetState(Entry& entry, EndpointState state, Time now);
   void Emit(EndpointEventKind kind, const EndpointInfo& info);
+  /// When the entry changes state or is removed without a new announcement.
   Time Due(const Entry& entry) const;
 
   EndpointDirectoryOptions options_;
--- a/servers/ownership/lease_votes.h
+++ b/servers/ownership/lease_votes.h
@@ -1,6 +1,6 @@
-// What this instance has promised as a voter: for each pool one holder until
-// a time. It forgets all promises at a restart, and then grants no new holder
-// until every earlier promise has run out.
+// The votes of this instance as a voter: each one promises a pool to one holder
+// until a time. They are not persisted, so after a restart no vote goes to a
+// new holder until every promise made before has run out.
 #ifndef SERVERS_OWNERSHIP_LEASE_VOTES_H_
 #define SERVERS_OWNERSHIP_LEASE_VOTES_H_
 
@@ -22,12 +22,17 @@
   bool operator==(const LeaseHolder&) const = default;
 };
 
+/// A request for a vote.
 struct LeaseClaim {
   PoolId pool;
   LeaseHolder holder;
   Epoch epoch{0};
+  /// The pool's endpoints reject orders with an older epoch.
   bool fenced = false;
+  /// The claimant holds a valid lease of the pool.
   bool holding = false;
+  /// The owner that hands the pool over, and its epoch; empty without a
+  /// hand-over.
   InstanceId predecessor;
   Epoch predecessor_epoch{0};
 };
@@ -35,20 +40,22 @@
 struct LeaseVote {
   LeaseHolder holder;
   Epoch epoch{0};
+  /// End of the promise.
   Time until{};
 };
 
 class LeaseVotes {
  public:
-  /// `floor`: at least as high as any epoch granted before this instance
-  /// started. Claims below it are refused, since the promises that would show
-  /// them to be old are forgotten.
+  /// `floor` is at least as high as any epoch granted before this instance
+  /// started. Claims below it by instances without a valid lease are refused,
+  /// since the promises that would show them to be stale are lost.
   LeaseVotes(Duration lease, Epoch floor, Time now)
       : lease_(lease), floor_(floor), grants_from_(now + lease) {}
 
-  /// The electorate changed: promises that others gave under the old one may
-  /// still be in force for one lease.
+  /// Defers new grants: promises that others gave under the old electorate may
+  /// stay in force for one lease.
   void Settle(Time now) { grants_from_ = now + lease_; }
+  /// True once those promises have run out.
   bool Settled(Time now) const { return now >= grants_from_; }
 
   /// `holder_live`: whether the present holder of the pool is live in this
@@ -59,7 +66,7 @@
   void Release(const PoolId& pool, const LeaseHolder& holder, Epoch epoch,
                Time now);
   Epoch floor() const { return floor_; }
-  /// Null if the pool was never claimed here.
+  /// Null if no vote was granted for the pool.
   const LeaseVote* Find(const PoolId& pool) const;
 
  private:
--- a/servers/ownership/ownership.cc
+++ b/servers/ownership/ownership.cc
@@ -8,19 +8,21 @@
 
 namespace {
 
-// Epochs stay exact in a JSON number.
+// Up to this, epochs are exact in a JSON number.
 constexpr std::uint64_t kEpochMaximum = std::uint64_t{1} << 53;
-// The low bits of an epoch name its instance, so that two instances that
-// claim at once never use the same number.
+// The low bits of an epoch are a hash of its instance's name, so that two
+// instances that claim at once use different epochs.
 constexpr int kInstanceBits = 16;
 constexpr std::size_t kNameBytesMaximum = 64;
 constexpr int kItemsMaximum = 1000;
 constexpr int kElectorateMaximum = 1000;
-// Bounds the changes of epoch that a contending claimant can cause.
-constexpr Duration kRaiseInterval = Seconds(10);
-// Members besides the voters that hear of the owner at each renewal.
-constexpr std::size_t kRefreshFanout = 2;
+// Limits how often a competing claimant can make the owner raise its epoch.
+constexpr Duration kEpochRaiseInterval = Seconds(10);
+// Members besides the voters to which the owner announces itself at each
+// renewal.
+constexpr std::size_t kAnnouncementFanout = 2;
 
+// The counter above the instance bits.
 std::uint64_t Count(Epoch epoch) { return epoch.value() >> kInstanceBits; }
 
 }  // namespace
@@ -35,7 +37,7 @@
       .started = options_.started, .live = true, .stable_at = now};
 }
 
-// Input.
+// Configuration and received messages.
 
 void Ownership::SetPools(const std::vector<OwnedPool>& pools, Time now) {
   std::set<ServiceId> wanted;
@@ -64,7 +66,7 @@
   std::vector<InstanceId> appeared;
   for (const OwnershipMember& member : view.members) {
     present.insert(member.id);
-    MemberState& state = members_[member.id];
+    MemberStatus& state = members_[member.id];
     const bool restarted =
         state.live && member.live && state.started != member.started;
     if (state.live && (!member.live || restarted)) {
@@ -77,7 +79,7 @@
       for (int i = 1; i < state.flaps; ++i) {
         wait = std::min(2 * wait, options_.stable_maximum);
       }
-      // What is there when this instance starts counts as stable.
+      // Members present when this instance starts count as stable.
       const bool at_start = now < start_ + options_.stable_after;
       state.stable_at = at_start && state.flaps == 0 ? now : now + wait;
       if (member.id != options_.self) appeared.push_back(member.id);
@@ -108,7 +110,7 @@
   }
 }
 
-bool Ownership::Wellformed(const Message& message) const {
+bool Ownership::IsWellFormed(const Message& message) const {
   if (message.kind() <= Message::NO_KIND) return false;
   if (message.kind() > Message::ELECTORATE) return false;
   if (message.data_centre().empty()) return false;
@@ -131,7 +133,7 @@
 
 void Ownership::OnMessage(const InstanceId& from, const Message& message,
                           Time now) {
-  if (!Wellformed(message)) {
+  if (!IsWellFormed(message)) {
     ++counters_.malformed;
     return;
   }
@@ -189,7 +191,7 @@
         .predecessor_epoch = Epoch(item.predecessor_epoch())};
     const bool comparable = claim.fenced || same_electorate;
     if (!comparable) mismatch = true;
-    const bool granted = comparable && VoteOn(claim, now);
+    const bool granted = comparable && CastVote(claim, now);
     ++(granted ? counters_.claims_granted : counters_.claims_refused);
     auto* vote = answer.add_pools();
     vote->set_service(item.service());
@@ -218,15 +220,15 @@
   outputs_.messages.push_back({from, std::move(answer)});
 }
 
-bool Ownership::VoteOn(const LeaseClaim& claim, Time now) {
+bool Ownership::CastVote(const LeaseClaim& claim, Time now) {
   const bool here = claim.pool.data_centre == options_.data_centre;
   const bool outdated = claim.epoch < KnownEpoch(claim.pool, true);
   if (outdated && !claim.holding) return false;
   return votes_.Grant(claim, !here || HolderLive(claim.pool, now), now);
 }
 
-// The highest epoch that an owner is known to have used. A refused claim must
-// also exceed what was used before this instance started.
+// The highest epoch that an owner is known to have used. After a refusal the
+// claimant must also exceed the epochs used before this instance started.
 Epoch Ownership::KnownEpoch(const PoolId& id, bool granted) const {
   Epoch known = granted ? Epoch(0) : votes_.floor();
   const auto pool = pools_.find(id.service);
@@ -272,9 +274,8 @@
       CountVotes(service, pool, now);
       continue;
     }
-    // A voter promised itself to another instance under a newer epoch. A
-    // fenced pool has another owner then; for an unfenced one the majority
-    // decides.
+    // The voter has voted for another instance under a newer epoch. A fenced
+    // pool has another owner then; for an unfenced one the majority decides.
     const bool newer = seen > pool.epoch && !item.holder().empty() &&
                        item.holder() != options_.self.value();
     const bool superseded = pool.role == Role::kReceiving ||
@@ -282,8 +283,8 @@
     if (newer && superseded) {
       StepDown(service, pool, now);
     } else if (newer && pool.role == Role::kOwner &&
-               now - pool.raised_at > kRaiseInterval) {
-      // That claim may have failed; with a higher epoch the voter returns.
+               now - pool.epoch_raised_at > kEpochRaiseInterval) {
+      // That claim may have failed; a higher epoch wins the voter back.
       RaiseEpoch(pool, now);
     }
   }
@@ -299,8 +300,8 @@
     const Epoch epoch(item.epoch());
     pool.highest = std::max(pool.highest, epoch);
     if (epoch < pool.owner_epoch) {
-      // Endpoints may have seen the higher one already: the sender needs a
-      // new epoch.
+      // Endpoints may already have seen the higher epoch, so the sender needs a
+      // new one.
       SendItem(Message::VOTE, from, service, pool.owner_epoch);
       continue;
     }
@@ -320,18 +321,18 @@
 void Ownership::NoteOwner(const ServiceId& service, Pool& pool,
                           const LeaseHolder& owner, Epoch epoch, Time now) {
   if (epoch < pool.owner_epoch) return;
-  pool.owner_heard = now;
+  pool.owner_last_heard = now;
   if (pool.owner == owner && pool.owner_epoch == epoch) return;
   pool.owner = owner;
   pool.owner_epoch = epoch;
   outputs_.events.push_back(
-      {OwnershipEventKind::kOwnerChanged, Id(service), owner.id, epoch});
+      {OwnershipEventKind::kOwnerChanged, PoolIdOf(service), owner.id, epoch});
 }
 
 void Ownership::OnElectorate(const Message& message, Time now) {
   std::set<InstanceId> others;
   for (const auto& name : message.electorate()) others.insert(InstanceId(name));
-  ElectorateChanged(electorate_.Unite(others, Starting(now)), now);
+  ElectorateChanged(electorate_.Merge(others, Starting(now)), now);
 }
 
 void Ownership::OnRelease(const InstanceId& from, const Message& message,
@@ -347,7 +348,7 @@
     if (found == pools_.end()) continue;
     Pool& pool = found->second;
     if (pool.owner.id == from && pool.owner_epoch == epoch) {
-      pool.owner_heard = Time::min();
+      pool.owner_last_heard = Time::min();
     }
   }
 }
@@ -367,12 +368,12 @@
 Epoch Ownership::NextEpoch(const Pool& pool) const {
   const std::uint64_t count = std::max(
       Count(std::max(pool.highest, pool.epoch)) + 1, options_.epoch_base);
-  const std::uint64_t mark =
+  const std::uint64_t instance_bits =
       HashText(options_.self.value(), 3) & ((1u << kInstanceBits) - 1);
-  return Epoch((count << kInstanceBits) | mark);
+  return Epoch((count << kInstanceBits) | instance_bits);
 }
 
-std::set<InstanceId> Ownership::Live() const {
+std::set<InstanceId> Ownership::LiveMembers() const {
   std::set<InstanceId> live;
   for (const auto& [id, state] : members_) {
     if (state.live) live.insert(id);
@@ -382,15 +383,15 @@
 
 std::vector<InstanceId> Ownership::VotersOf(const ServiceId& service,
                                             const Pool& pool) const {
-  std::vector<InstanceId> voters =
-      ByScore(Id(service), pool.fenced ? Live() : electorate_.voters());
+  std::vector<InstanceId> voters = ByScore(
+      PoolIdOf(service), pool.fenced ? LiveMembers() : electorate_.voters());
   if (voters.size() > options_.voters_maximum) {
     voters.resize(options_.voters_maximum);
   }
   return voters;
 }
 
-InstanceId Ownership::Preferred(const ServiceId& service, Time now) const {
+InstanceId Ownership::PreferredOwner(const ServiceId& service, Time now) const {
   std::set<InstanceId> stable;
   std::set<InstanceId> live;
   for (const auto& [id, state] : members_) {
@@ -399,7 +400,7 @@
     live.insert(id);
     if (now >= state.stable_at) stable.insert(id);
   }
-  const auto order = ByScore(Id(service), stable.empty() ? live : stable);
+  const auto order = ByScore(PoolIdOf(service), stable.empty() ? live : stable);
   return order.empty() ? InstanceId() : order.front();
 }
 
@@ -414,7 +415,7 @@
                                                      : options_.claim_interval);
   const std::vector<InstanceId> voters = VotersOf(service, pool);
   pool.round_voters = {voters.begin(), voters.end()};
-  LeaseClaim claim{.pool = Id(service),
+  LeaseClaim claim{.pool = PoolIdOf(service),
                    .holder = {options_.self, options_.started},
                    .epoch = pool.epoch,
                    .fenced = pool.fenced,
@@ -438,8 +439,8 @@
     outputs_.messages.push_back({voter, message});
   }
   if (pool.round_voters.count(options_.self) == 0) return;
-  // Its own vote follows the same rules as the others'.
-  if (!VoteOn(claim, now)) return;
+  // The own vote follows the same rules as those of other instances.
+  if (!CastVote(claim, now)) return;
   pool.votes.insert(options_.self);
   CountVotes(service, pool, now);
 }
@@ -449,13 +450,14 @@
   if (pool.votes.size() * 2 <= pool.round_voters.size()) return;
   const Duration counted(static_cast<std::int64_t>(
       options_.owner_share * static_cast<double>(options_.lease.count())));
-  // Counted from the sending: every voter's promise ends later than this.
+  // Counted from the sending of the claims, so that every voter's promise ends
+  // later.
   const Time until = pool.round_sent + counted;
   if (now >= until) return;
   switch (pool.role) {
     case Role::kOwner:
       pool.valid_until = std::max(pool.valid_until, until);
-      if (pool.held != pool.epoch) BecomeOwner(service, pool, now);
+      if (pool.held_epoch != pool.epoch) BecomeOwner(service, pool, now);
       return;
     case Role::kClaiming:
       pool.valid_until = until;
@@ -471,14 +473,14 @@
 
 void Ownership::BecomeOwner(const ServiceId& service, Pool& pool, Time now) {
   pool.role = Role::kOwner;
-  pool.held = pool.epoch;
+  pool.held_epoch = pool.epoch;
   pool.successor = InstanceId();
   pool.highest = std::max(pool.highest, pool.epoch);
   pool.misplaced_since = Time::max();
   pool.next_round = now + options_.renew_interval;
   NoteOwner(service, pool, {options_.self, options_.started}, pool.epoch, now);
-  outputs_.events.push_back(
-      {OwnershipEventKind::kAcquired, Id(service), options_.self, pool.epoch});
+  outputs_.events.push_back({OwnershipEventKind::kAcquired, PoolIdOf(service),
+                             options_.self, pool.epoch});
   AnnounceAll(service, pool);
 }
 
@@ -490,8 +492,8 @@
   pool.next_round = now + options_.claim_interval;
   if (role == Role::kNone) return;
   pool.highest = std::max(pool.highest, pool.epoch);
-  // The promises to a successor replaced those to an owner whose lease may
-  // still run, so they have to run out.
+  // The promises to this successor replaced those to the owner, whose lease may
+  // still run, so they must not be released early.
   if (role == Role::kReceiving) return;
   Message release = NewMessage(Message::RELEASE);
   auto* item = release.add_pools();
@@ -500,13 +502,13 @@
   for (const InstanceId& voter : VotersOf(service, pool)) {
     if (voter != options_.self) outputs_.messages.push_back({voter, release});
   }
-  votes_.Release(Id(service), {options_.self, options_.started}, pool.epoch,
-                 now);
-  if (pool.owner.id == options_.self) pool.owner_heard = Time::min();
+  votes_.Release(PoolIdOf(service), {options_.self, options_.started},
+                 pool.epoch, now);
+  if (pool.owner.id == options_.self) pool.owner_last_heard = Time::min();
   if (role != Role::kOwner && role != Role::kHandingOver) return;
   ++counters_.leases_lost;
-  outputs_.events.push_back(
-      {OwnershipEventKind::kReleased, Id(service), options_.self, pool.epoch});
+  outputs_.events.push_back({OwnershipEventKind::kReleased, PoolIdOf(service),
+                             options_.self, pool.epoch});
 }
 
 // Hand-over.
@@ -516,8 +518,8 @@
   pool.role = Role::kHandingOver;
   pool.successor = successor;
   pool.handover_deadline = now + options_.handover_timeout;
-  // Stops renewing: the successor may take over once the lease has run out,
-  // also when this instance doesn't answer any more.
+  // Stops renewing, so that the successor can take over when the lease has run
+  // out even if this instance no longer answers.
   pool.round = 0;
   pool.next_round = now + options_.claim_interval;
   SendItem(Message::PREPARE, successor, service, pool.epoch);
@@ -536,7 +538,7 @@
                         pool.predecessor == from &&
                         pool.predecessor_epoch == epoch;
   if (repeated) return;
-  // An old message: a newer owner is known.
+  // A stale message: a newer owner is known.
   if (epoch < pool.owner_epoch) return;
   if (pool.role != Role::kNone) StepDown(service, pool, now);
   pool.role = Role::kReceiving;
@@ -557,19 +559,19 @@
   const Epoch epoch(item.epoch());
   if (pool.successor != from) return;
   if (pool.role == Role::kNone && pool.successor_epoch == epoch) {
-    // The commit was lost.
+    // The successor asks again because the commit was lost.
     return SendItem(Message::COMMIT, from, service, epoch);
   }
   if (pool.role != Role::kHandingOver || epoch <= pool.epoch) return;
-  const Epoch released = pool.held;
+  const Epoch released = pool.held_epoch;
   pool.role = Role::kNone;
   pool.valid_until = now;
   pool.round = 0;
   pool.successor_epoch = epoch;
   pool.highest = std::max(pool.highest, epoch);
   ++counters_.handovers;
-  outputs_.events.push_back(
-      {OwnershipEventKind::kReleased, Id(service), options_.self, released});
+  outputs_.events.push_back({OwnershipEventKind::kReleased, PoolIdOf(service),
+                             options_.self, released});
   NoteOwner(service, pool, {from, members_[from].started}, epoch, now);
   SendItem(Message::COMMIT, from, service, epoch);
 }
@@ -589,8 +591,8 @@
 
 void Ownership::AbortHandover(Pool& pool, Time now) {
   ++counters_.handovers_aborted;
-  // A new epoch makes the votes that the successor may still collect as
-  // successor of the old one fail.
+  // A new epoch invalidates the votes that the successor may still collect as
+  // successor of the old epoch.
   RaiseEpoch(pool, now);
   pool.role = Role::kOwner;
   pool.successor = InstanceId();
@@ -598,7 +600,7 @@
 }
 
 void Ownership::RaiseEpoch(Pool& pool, Time now) {
-  pool.raised_at = now;
+  pool.epoch_raised_at = now;
   pool.epoch = NextEpoch(pool);
   pool.highest = std::max(pool.highest, pool.epoch);
   pool.round = 0;
@@ -611,12 +613,12 @@
   Tick(now);
 }
 
-// Time.
+// Timers.
 
 bool Ownership::OwnerGone(const Pool& pool, Time now) const {
   if (pool.owner.id.empty()) return true;
-  if (pool.owner_heard == Time::min()) return true;
-  if (now - pool.owner_heard > options_.owner_silence) return true;
+  if (pool.owner_last_heard == Time::min()) return true;
+  if (now - pool.owner_last_heard > options_.owner_silence) return true;
   const auto found = members_.find(pool.owner.id);
   if (found == members_.end() || !found->second.live) return true;
   return found->second.started != pool.owner.started;
@@ -637,11 +639,13 @@
       if (pool.highest > pool.epoch) pool.epoch = NextEpoch(pool);
       return StartRound(service, pool, now);
     case Role::kClaiming:
-      if (Preferred(service, now) != options_.self || !OwnerGone(pool, now)) {
+      if (PreferredOwner(service, now) != options_.self ||
+          !OwnerGone(pool, now)) {
         return StepDown(service, pool, now);
       }
       if (now >= pool.handover_deadline) {
-        // Two claimants with half of the votes each would block each other.
+        // Two claimants with half of the votes each would block each other; a
+        // random delay separates them.
         StepDown(service, pool, now);
         pool.next_round =
             now + Duration(random_.Below(options_.renew_interval.count()));
@@ -661,10 +665,10 @@
   }
   pool.next_round = now + options_.claim_interval;
   if (!OwnerGone(pool, now)) return;
-  if (Preferred(service, now) != options_.self) return;
+  if (PreferredOwner(service, now) != options_.self) return;
   pool.role = Role::kClaiming;
-  // Never an epoch claimed before: the release of that claim may still arrive
-  // and would end the promise for this one.
+  // Never reuses a claimed epoch: a delayed release of that claim would end the
+  // promise for this one.
   pool.epoch = NextEpoch(pool);
   pool.handover_deadline = now + 2 * options_.lease;
   StartRound(service, pool, now);
@@ -681,11 +685,11 @@
     }
     return;
   }
-  pool.owner_heard = now;
+  pool.owner_last_heard = now;
   if (pool.owner_epoch > pool.epoch) RaiseEpoch(pool, now);
-  // The rendezvous order of all members is worked out at renewals only.
+  // The rendezvous order of all members is computed only at renewals.
   if (now < pool.next_round && !leaving_) return;
-  const InstanceId preferred = Preferred(service, now);
+  const InstanceId preferred = PreferredOwner(service, now);
   const bool misplaced = !preferred.empty() && preferred != options_.self;
   if (!misplaced) pool.misplaced_since = Time::max();
   if (misplaced && pool.misplaced_since == Time::max()) {
@@ -694,7 +698,7 @@
   const bool long_enough =
       misplaced && now - pool.misplaced_since >= options_.stable_after;
   // Enough of the lease must be left for the hand-over.
-  const bool fresh = pool.held == pool.epoch &&
+  const bool fresh = pool.held_epoch == pool.epoch &&
                      pool.valid_until - now > options_.handover_timeout;
   if (misplaced && fresh && (leaving_ || long_enough)) {
     return StartHandover(service, pool, preferred, now);
@@ -702,11 +706,11 @@
   if (now < pool.next_round) return;
   StartRound(service, pool, now);
   std::vector<InstanceId> others;
-  for (const InstanceId& id : Live()) {
+  for (const InstanceId& id : LiveMembers()) {
     if (id != options_.self) others.push_back(id);
   }
   std::shuffle(others.begin(), others.end(), random_.engine());
-  if (others.size() > kRefreshFanout) others.resize(kRefreshFanout);
+  if (others.size() > kAnnouncementFanout) others.resize(kAnnouncementFanout);
   if (misplaced) others.push_back(preferred);
   for (const InstanceId& id : others) AnnounceTo(id, service, pool);
 }
@@ -725,7 +729,7 @@
   return next;
 }
 
-// Output.
+// Sending and events.
 
 proto::OwnershipMessage Ownership::NewMessage(Message::Kind kind) const {
   Message message;
@@ -746,11 +750,11 @@
 
 void Ownership::AnnounceTo(const InstanceId& to, const ServiceId& service,
                            const Pool& pool) {
-  SendItem(Message::ANNOUNCE, to, service, pool.held);
+  SendItem(Message::ANNOUNCE, to, service, pool.held_epoch);
 }
 
 void Ownership::AnnounceAll(const ServiceId& service, const Pool& pool) {
-  for (const InstanceId& id : Live()) {
+  for (const InstanceId& id : LiveMembers()) {
     if (id != options_.self) AnnounceTo(id, service, pool);
   }
 }
@@ -774,7 +778,7 @@
     return std::nullopt;
   }
   if (now >= pool.valid_until) return std::nullopt;
-  return pool.held;
+  return pool.held_epoch;
 }
 
 bool Ownership::HoldsNoPools(Time now) const {
@@ -800,7 +804,7 @@
   std::vector<OwnershipRow> rows;
   for (const auto& [service, pool] : pools_) {
     const bool held = HeldEpoch(service, now).has_value();
-    rows.push_back({.pool = Id(service),
+    rows.push_back({.pool = PoolIdOf(service),
                     .owner = pool.owner.id,
                     .epoch = pool.owner_epoch,
                     .fenced = pool.fenced,
--- a/servers/ownership/ownership.h
+++ b/servers/ownership/ownership.h
@@ -1,14 +1,14 @@
-// Which instance owns each pool of a data centre.
+// Lease-based ownership of the pools of a data centre.
 //
 // The first live instance in rendezvous order owns a pool while it holds a
-// lease, renewed by a majority of voters. Two kinds of pool differ:
+// lease, which a majority of voters renews. There are two kinds of pool:
 //
 // - Endpoints honour fencing: the voters are the live instances in the
 //   owner's view. A new owner starts at once with a higher epoch. Under a
 //   partition both sides may have an owner; endpoints obey the higher epoch.
 // - Endpoints ignore fencing: the voters are the electorate, dead members
-//   included, and a voter promises itself to one holder for a lease. At most
-//   one instance holds a valid lease at any time.
+//   included, and a vote promises the pool to one holder for the duration of
+//   a lease. At most one instance holds a valid lease at any time.
 //
 // The bounds of the second guarantee are in docs/decisions/006-ownership.md.
 #ifndef SERVERS_OWNERSHIP_OWNERSHIP_H_
@@ -35,35 +35,38 @@
   InstanceId self;
   DataCentreId data_centre;
   Incarnation started{1};
-  /// Epochs start above this: tenths of a second since 1970. They grow over a
-  /// restart of all instances, since an epoch is raised at most once in each
-  /// claim interval of 200 ms.
+  /// Lower bound of the counter in an epoch: tenths of a second since 1970.
+  /// Epochs increase even over a restart of all instances, since one is raised
+  /// at most once in each claim interval of 200 ms.
   std::uint64_t epoch_base = 1;
-  /// Instances of this data centre named in the settings. With them an
-  /// instance that starts in a partition knows what it can't see.
+  /// Instances of this data centre named in the settings. They let an instance
+  /// that starts during a partition know of the members it can't see.
   std::set<InstanceId> voters;
   /// See Electorate; from WitnessOf().
   InstanceId witness;
   std::uint64_t random_seed = 1;
 
   Duration lease = Seconds(3);
-  /// The owner counts on this share of the lease; the rest covers clocks that
-  /// run at different speeds.
+  /// Share of the lease during which the owner may act; the rest covers clocks
+  /// that run at different speeds.
   double owner_share = 0.9;
   Duration renew_interval = Seconds(1);
   /// Between attempts to collect votes.
   Duration claim_interval = Milliseconds(200);
-  /// Nothing is claimed before: announcements of present owners arrive.
+  /// No pool is claimed for this long after the start, so that announcements of
+  /// present owners can arrive.
   Duration startup_wait = Seconds(3);
-  /// A member that appears later gets pools after it was live for this long;
-  /// doubled by each time it was lost within the flap window.
+  /// A member that appears later gets pools once it has been live for this
+  /// long; doubled for each further loss within flap_window, up to
+  /// stable_maximum.
   Duration stable_after = Seconds(5);
   Duration stable_maximum = Seconds(60);
   Duration flap_window = Seconds(60);
   Duration handover_timeout = Seconds(1);
-  /// An owner that was not heard for this long gave up its lease.
+  /// An owner that was not heard for this long is taken to have lost its lease.
   Duration owner_silence = Seconds(6);
-  /// Voters of a pool; bounds the renewals at 67 instances a data centre.
+  /// Voters of a pool; limits the renewal traffic at 67 instances in a data
+  /// centre.
   std::size_t voters_maximum = 5;
 };
 
@@ -108,6 +111,8 @@
 
 struct OwnershipCounters {
   std::uint64_t malformed = 0;
+  /// Own messages that came back, and kinds that another data centre may not
+  /// send.
   std::uint64_t foreign = 0;
   std::uint64_t claims_granted = 0;
   std::uint64_t claims_refused = 0;
@@ -117,8 +122,8 @@
   std::uint64_t handovers_aborted = 0;
 };
 
-/// Not thread safe. Drive Tick at NextWakeup() at the latest, and take the
-/// outputs after each call.
+/// Not thread safe. Call Tick() at NextWakeup() at the latest, and
+/// TakeOutputs() after each call.
 class Ownership {
  public:
   Ownership(OwnershipOptions options, Time now);
@@ -129,7 +134,8 @@
                  Time now);
   /// An endpoint refused an order since it has seen a higher epoch.
   void OnStaleEpoch(const ServiceId& service, Epoch seen, Time now);
-  /// Hands all pools over. Done when none is held or HandoverImpossible().
+  /// Starts to hand over all pools; done when HoldsNoPools() or
+  /// HandoverImpossible().
   void Leave(Time now);
   void Tick(Time now);
   Time NextWakeup() const;
@@ -138,11 +144,11 @@
   /// The epoch under which this instance may act on the pool now. Ask at each
   /// action: a lease may run out between two ticks.
   std::optional<Epoch> HeldEpoch(const ServiceId& service, Time now) const;
-  /// True if no pool is held any more.
+  /// True if this instance holds no valid lease.
   bool HoldsNoPools(Time now) const;
   /// True if no other instance can take a pool.
   bool HandoverImpossible() const;
-  /// Where to send requests; empty if not known.
+  /// The owner last heard of, which gets the requests; empty if not known.
   InstanceId Owner(const ServiceId& service) const;
   std::vector<OwnershipRow> Pools(Time now) const;
   const Electorate& electorate() const { return electorate_; }
@@ -165,43 +171,49 @@
     Epoch epoch{0};
     /// kOwner, kHandingOver: the epoch it may act under. Lower than `epoch`
     /// until a majority has voted for that.
-    Epoch held{0};
-    Time raised_at{};
-    /// Highest seen of any instance. epoch never exceeds it.
+    Epoch held_epoch{0};
+    Time epoch_raised_at{};
+    /// Highest seen of any instance. The epoch of a claim exceeds it until the
+    /// pool is owned or the claim given up.
     Epoch highest{0};
     std::uint64_t round = 0;
     Time round_sent{};
     Time next_round{};
     std::set<InstanceId> round_voters;
     std::set<InstanceId> votes;
+    /// End of the own lease.
     Time valid_until{};
-    /// kHandingOver: to whom. Kept after a hand-over to repeat the commit.
+    /// kHandingOver: the successor. Kept after the hand-over to repeat the
+    /// commit.
     InstanceId successor;
     Epoch successor_epoch{0};
-    /// Also the end of an attempt to claim.
+    /// When a hand-over or an attempt to claim is given up.
     Time handover_deadline{};
-    /// kReceiving: from whom, and when its lease has run out in any case.
+    /// kReceiving: the owner that hands over, and when its lease has run out in
+    /// any case.
     InstanceId predecessor;
     Epoch predecessor_epoch{0};
     Time predecessor_gone{};
     /// The owner last heard of.
     LeaseHolder owner;
     Epoch owner_epoch{0};
-    Time owner_heard{};
-    /// Since when another instance is first in line.
+    /// Time::min() once it has released the pool.
+    Time owner_last_heard{};
+    /// Since when another instance is the preferred owner.
     Time misplaced_since{Time::max()};
   };
-  struct MemberState {
+  struct MemberStatus {
     Incarnation started{0};
     bool live = false;
     bool leaving = false;
     Time stable_at{};
+    /// Losses in a row, each within flap_window of the one before.
     int flaps = 0;
     Time last_loss{};
   };
 
-  // Input.
-  bool Wellformed(const Message& message) const;
+  // Received messages.
+  bool IsWellFormed(const Message& message) const;
   void OnClaim(const InstanceId& from, const Message& message, Time now);
   void OnVote(const InstanceId& from, const Message& message, Time now);
   void OnAnnounce(const InstanceId& from, const Message& message, Time now);
@@ -222,7 +234,7 @@
                  Epoch epoch, Time now);
   void ElectorateChanged(bool changed, Time now);
 
-  // Time.
+  // Timers.
   void TickPool(const ServiceId& service, Pool& pool, Time now);
   void TickOwner(const ServiceId& service, Pool& pool, Time now);
   void StartHandover(const ServiceId& service, Pool& pool,
@@ -231,18 +243,18 @@
   /// Claims a higher epoch while it acts under the old one.
   void RaiseEpoch(Pool& pool, Time now);
   bool OwnerGone(const Pool& pool, Time now) const;
-  bool VoteOn(const LeaseClaim& claim, Time now);
+  bool CastVote(const LeaseClaim& claim, Time now);
   Epoch KnownEpoch(const PoolId& id, bool granted) const;
   bool HolderLive(const PoolId& pool, Time now) const;
 
-  PoolId Id(const ServiceId& service) const {
+  PoolId PoolIdOf(const ServiceId& service) const {
     return {options_.data_centre, service};
   }
   Epoch NextEpoch(const Pool& pool) const;
-  std::set<InstanceId> Live() const;
+  std::set<InstanceId> LiveMembers() const;
   std::vector<InstanceId> VotersOf(const ServiceId& service,
                                    const Pool& pool) const;
-  InstanceId Preferred(const ServiceId& service, Time now) const;
+  InstanceId PreferredOwner(const ServiceId& service, Time now) const;
   bool Starting(Time now) const { return now < start_ + options_.startup_wait; }
   Message NewMessage(Message::Kind kind) const;
   void SendItem(Message::Kind kind, const InstanceId& to,
@@ -258,7 +270,7 @@
   bool leaving_ = false;
   Electorate electorate_;
   LeaseVotes votes_;
-  std::map<InstanceId, MemberState> members_;
+  std::map<InstanceId, MemberStatus> members_;
   std::map<ServiceId, Pool> pools_;
   std::uint64_t next_round_ = 1;
   OwnershipOutputs outputs_;
--- a/tests/ownership/endpoint_directory_test.cc
+++ b/tests/ownership/endpoint_directory_test.cc
@@ -99,7 +99,7 @@
     if (i == 5) info.incarnation = Incarnation(~std::uint64_t{0});
     CHECK(!directory.Announce(info, At(2)));
   }
-  LONGS_EQUAL(6, directory.counters().absurd);
+  LONGS_EQUAL(6, directory.counters().implausible);
   info = Runner("r2");
   info.service = ServiceId("other");
   CHECK(!directory.Announce(info, At(3)));
