--- a/servers/ownership/electorate.cc
+++ b/servers/ownership/electorate.cc
@@ -1,4 +1,4 @@
-// Electorate of a data centre and rendezvous scores.
+// Electorate of a data centre, and rendezvous scores of its pools.
 #include "servers/ownership/electorate.h"
 
 #include <algorithm>
@@ -27,9 +27,9 @@
 }
 
 std::uint64_t PoolScore(const PoolId& pool, const InstanceId& instance) {
-  const std::uint64_t service =
+  const std::uint64_t pool_hash =
       HashText(pool.service.value(), HashText(pool.data_centre.value(), 0));
-  return HashText(instance.value(), service);
+  return HashText(instance.value(), pool_hash);
 }
 
 std::vector<InstanceId> ByScore(const PoolId& pool,
@@ -64,8 +64,8 @@
   if (starting || HasLiveMajority()) {
     next.insert(present.begin(), present.end());
     for (const InstanceId& id : members_) {
-      const bool gone = seen_.count(id) > 0 && present.count(id) == 0;
-      if (!gone) continue;
+      const bool reclaimed = seen_.count(id) > 0 && present.count(id) == 0;
+      if (!reclaimed) continue;
       next.erase(id);
       reclaimed_.insert(id);
     }
--- a/servers/ownership/endpoint_directory.cc
+++ b/servers/ownership/endpoint_directory.cc
@@ -1,4 +1,4 @@
-// Endpoints of one pool.
+// Registry of the endpoints of one pool.
 #include "servers/ownership/endpoint_directory.h"
 
 #include <fmt/format.h>
@@ -15,15 +15,15 @@
 constexpr std::size_t kUrlBytesMaximum = 256;
 constexpr std::uint64_t kIncarnationMaximum = std::uint64_t{1} << 62;
 
-bool Printable(const std::string& text) {
+bool IsPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(),
                      [](char c) { return c > ' ' && c <= '~'; });
 }
 
 bool IsUrl(const std::string& url) {
-  const bool scheme =
+  const bool has_http_scheme =
       url.rfind("http://", 0) == 0 || url.rfind("https://", 0) == 0;
-  return scheme && url.size() <= kUrlBytesMaximum && Printable(url);
+  return has_http_scheme && url.size() <= kUrlBytesMaximum && IsPrintable(url);
 }
 
 }  // namespace
@@ -32,21 +32,21 @@
                                const std::string& reason) {
   ++*counter;
   const std::string name = id.value().substr(0, kNameBytesMaximum);
-  findings_.push_back({"endpoint " + (Printable(name) ? name : "?"), reason});
+  findings_.push_back({"endpoint " + (IsPrintable(name) ? name : "?"), reason});
   if (findings_.size() > options_.findings_maximum) findings_.pop_front();
   return false;
 }
 
 bool EndpointDirectory::CheckPlausible(const EndpointInfo& info) {
-  std::uint64_t* implausible = &counters_.implausible;
+  std::uint64_t* counter = &counters_.implausible;
   if (info.slots < 1 || info.slots > options_.slots_maximum) {
-    return Reject(implausible, info.id,
+    return Reject(counter, info.id,
                   fmt::format("slots {} is not within 1 to {}", info.slots,
                               options_.slots_maximum));
   }
   if (info.kv_capacity < Bytes(0) ||
       info.kv_capacity > options_.kv_capacity_maximum) {
-    return Reject(implausible, info.id,
+    return Reject(counter, info.id,
                   fmt::format("kv_capacity_bytes {} is not within 0 to {}",
                               info.kv_capacity.value(),
                               options_.kv_capacity_maximum.value()));
@@ -54,7 +54,7 @@
   // The negated form also rejects NaN.
   if (!(info.prefill_tokens_per_second >= 0 &&
         info.prefill_tokens_per_second <= options_.prefill_rate_maximum)) {
-    return Reject(implausible, info.id,
+    return Reject(counter, info.id,
                   fmt::format("prefill_tokens_per_second {} is not within 0 to "
                               "{}",
                               info.prefill_tokens_per_second,
@@ -62,13 +62,13 @@
   }
   if (info.kv_bytes_per_token < Bytes(0) ||
       info.kv_bytes_per_token > options_.kv_bytes_per_token_maximum) {
-    return Reject(implausible, info.id,
+    return Reject(counter, info.id,
                   fmt::format("kv_bytes_per_token {} is not within 0 to {}",
                               info.kv_bytes_per_token.value(),
                               options_.kv_bytes_per_token_maximum.value()));
   }
   if (info.incarnation.value() > kIncarnationMaximum) {
-    return Reject(implausible, info.id,
+    return Reject(counter, info.id,
                   fmt::format("incarnation {} leaves no room for a restart",
                               info.incarnation.value()));
   }
@@ -76,10 +76,10 @@
 }
 
 bool EndpointDirectory::Announce(const EndpointInfo& info, Time now) {
-  const bool named = !info.id.empty() &&
-                     info.id.value().size() <= kNameBytesMaximum &&
-                     Printable(info.id.value());
-  if (!named) {
+  const bool name_valid = !info.id.empty() &&
+                          info.id.value().size() <= kNameBytesMaximum &&
+                          IsPrintable(info.id.value());
+  if (!name_valid) {
     return Reject(&counters_.malformed, info.id,
                   "the name is empty, too long or not printable");
   }
@@ -115,7 +115,8 @@
   }
   const bool restarted = info.incarnation > entry.info.incarnation;
   if (!restarted && info.url != entry.info.url) {
-    // Two processes with one name: sessions could be ordered at the wrong one.
+    // Two processes use one name: orders for a session could go to the wrong
+    // one.
     return Reject(&counters_.contradictory, info.id,
                   "announced at " + info.url + " and at " + entry.info.url +
                       " in the same incarnation");
@@ -124,7 +125,7 @@
   entry.last_announced = now;
   const bool returned = !entry.present();
   const bool changed = info != entry.info;
-  const bool suspect = entry.state == EndpointState::kSuspect;
+  const bool was_suspect = entry.state == EndpointState::kSuspect;
   entry.info = info;
   if (restarted) entry.last_report = 0;
   if (entry.state != EndpointState::kAlive) {
@@ -135,7 +136,7 @@
     Emit(EndpointEventKind::kRestarted, info);
   } else if (returned || changed) {
     Emit(EndpointEventKind::kUpserted, info);
-  } else if (suspect) {
+  } else if (was_suspect) {
     Emit(EndpointEventKind::kAlive, info);
   }
   return true;
@@ -160,15 +161,15 @@
     return reject(fmt::format("load report {} is not newer than {}",
                               report.sequence, entry.last_report));
   }
-  const bool counts = report.running >= 0 && report.waiting >= 0 &&
-                      report.running <= options_.slots_maximum &&
-                      report.waiting <= options_.waiting_maximum &&
-                      report.queued_prompt_tokens >= Tokens(0);
-  const bool memory = report.kv_bytes >= Bytes(0) &&
-                      report.kv_bytes <= options_.kv_capacity_maximum;
-  const bool age =
+  const bool counts_valid = report.running >= 0 && report.waiting >= 0 &&
+                            report.running <= options_.slots_maximum &&
+                            report.waiting <= options_.waiting_maximum &&
+                            report.queued_prompt_tokens >= Tokens(0);
+  const bool memory_valid = report.kv_bytes >= Bytes(0) &&
+                            report.kv_bytes <= options_.kv_capacity_maximum;
+  const bool age_valid =
       report.age >= Duration(0) && report.age <= options_.report_age_maximum;
-  if (!counts || !memory || !age) {
+  if (!counts_valid || !memory_valid || !age_valid) {
     return reject("load report with figures out of range");
   }
   entry.last_report = report.sequence;
@@ -220,10 +221,10 @@
 }
 
 void EndpointDirectory::Tick(Time now) {
-  for (auto place = entries_.begin(); place != entries_.end();) {
-    Entry& entry = place->second;
+  for (auto position = entries_.begin(); position != entries_.end();) {
+    Entry& entry = position->second;
     if (now >= Due(entry) && !entry.present()) {
-      place = entries_.erase(place);
+      position = entries_.erase(position);
       continue;
     }
     if (now >= Due(entry) && entry.state == EndpointState::kAlive) {
@@ -235,7 +236,7 @@
                                     : EndpointState::kDead,
                now);
     }
-    ++place;
+    ++position;
   }
 }
 
--- a/servers/ownership/lease_votes.cc
+++ b/servers/ownership/lease_votes.cc
@@ -1,12 +1,12 @@
-// Promises of a voter.
+// Votes of this instance as a voter.
 #include "servers/ownership/lease_votes.h"
 
 namespace cassiausher {
 
 namespace {
 
-// Far above the pools of a deployment; bounds what claims for invented pools
-// can occupy.
+// Limits the memory that claims for invented pools can take; far above the
+// number of pools of a deployment.
 constexpr std::size_t kPoolsMaximum = 10000;
 
 }  // namespace
