--- a/tests/ownership/endpoint_directory_test.cc
+++ b/tests/ownership/endpoint_directory_test.cc
@@ -1,4 +1,4 @@
-// States of endpoints, and announcements that must be rejected.
+// States of endpoints, and rejection of invalid announcements and load reports.
 #include "servers/ownership/endpoint_directory.h"
 
 #include <CppUTest/TestHarness.h>
@@ -33,8 +33,9 @@
   }
 };
 
-// Guards against a silent endpoint that keeps getting work.
-TEST(EndpointDirectory, SilenceLeadsToSuspectThenDead) {
+// Guards against an endpoint that stopped announcing itself and keeps getting
+// work.
+TEST(EndpointDirectory, SilentEndpointBecomesSuspectThenDead) {
   CHECK(directory.Announce(Runner("r1"), At(0)));
   ExpectEvent(EndpointEventKind::kUpserted);
   CHECK(directory.NextWakeup() == At(1500));
@@ -51,8 +52,8 @@
 }
 
 // Guards against new work for an endpoint that departs or is drained, and
-// against a departure reported as a death.
-TEST(EndpointDirectory, DepartingAndDrainedEndpointsTakeNoNewWork) {
+// against an announced departure reported as a death.
+TEST(EndpointDirectory, DepartingAndDrainedEndpointsAreReportedAsDeparting) {
   EndpointInfo info = Runner("r1");
   directory.Announce(info, At(0));
   directory.TakeEvents();
@@ -69,9 +70,9 @@
   CHECK(events.back().kind == EndpointEventKind::kDeparted);
 }
 
-// Guards against sessions of an earlier run that are taken to exist, and
-// against late announcements of that run.
-TEST(EndpointDirectory, RestartIsToldByItsIncarnation) {
+// Guards against sessions of an earlier run that are taken to exist after a
+// restart, and against late announcements of that run.
+TEST(EndpointDirectory, HigherIncarnationIsRestartAndLowerIsRejected) {
   directory.Announce(Runner("r1", 5), At(0));
   directory.TakeEvents();
   CHECK(directory.Announce(Runner("r1", 6), At(100)));
@@ -81,9 +82,9 @@
   STRCMP_EQUAL("endpoint r1", directory.findings().back().place.c_str());
 }
 
-// Guards against figures that would break reservations, and against two
-// processes with one name.
-TEST(EndpointDirectory, AbsurdAndContradictoryAnnouncementsAreRejected) {
+// Guards against values that would break reservations, and against two
+// processes that use one name.
+TEST(EndpointDirectory, ImplausibleAndContradictoryAnnouncementsAreRejected) {
   directory.Announce(Runner("r1"), At(0));
   EndpointInfo info = Runner("r1");
   info.url = "http://127.0.0.1:9001";
@@ -115,8 +116,9 @@
   LONGS_EQUAL(64, directory.findings().size());
 }
 
-// Guards against load reports of another run, old ones and impossible ones.
-TEST(EndpointDirectory, LoadReportsAreChecked) {
+// Guards against load reports that are of another run, repeated or out of
+// range.
+TEST(EndpointDirectory, InvalidLoadReportsAreRejected) {
   directory.Announce(Runner("r1"), At(0));
   LoadReport report{.endpoint = EndpointId("r1"),
                     .incarnation = Incarnation(5),
--- a/tests/ownership/lease_votes_test.cc
+++ b/tests/ownership/lease_votes_test.cc
@@ -1,5 +1,5 @@
-// Promises of a voter, and the time for which an owner counts on them. The
-// randomised runs reach these cases too seldom.
+// Promises of a voter, and how long an owner relies on them. The randomised
+// test reaches these cases too rarely.
 #include "servers/ownership/lease_votes.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,9 +24,9 @@
 
 TEST_GROUP(LeaseVotes) { LeaseVotes votes{Seconds(3), Epoch(10), At(0)}; };
 
-// Guards against a voter that restarts and promises itself to a second holder
-// while its forgotten promise to the first still counts.
-TEST(LeaseVotes, RestartedVoterWaitsForOneLease) {
+// Guards against a voter that restarts, has lost its promise to one holder, and
+// votes for a second one while the first still relies on it.
+TEST(LeaseVotes, RestartedVoterGrantsNoNewHolderForOneLease) {
   CHECK(!votes.Grant(Claim("a", 11), false, At(2999)));
   CHECK(votes.Grant(Claim("a", 11), false, At(3000)));
   LeaseVotes other(Seconds(3), Epoch(10), At(0));
@@ -36,7 +36,7 @@
   CHECK(!other.Grant(Claim("b", 11), false, At(2)));
 }
 
-// Guards against epochs that go back: an endpoint would take orders of an
+// Guards against epochs that decrease: an endpoint would accept orders of an
 // owner that was replaced.
 TEST(LeaseVotes, LowerEpochsAreRefused) {
   CHECK(!votes.Grant(Claim("a", 9), false, At(5000)));
@@ -49,7 +49,8 @@
   CHECK(votes.Grant(Claim("b", 21), false, At(9000)));
 }
 
-// Guards against a promise that ends early by a message about another one.
+// Guards against a promise ended early by a release or claim that refers to
+// another epoch.
 TEST(LeaseVotes, PromiseIsExclusiveUntilItEnds) {
   CHECK(votes.Grant(Claim("a", 20), false, At(5000)));
   CHECK(!votes.Grant(Claim("b", 21), false, At(7999)));
@@ -64,7 +65,7 @@
 }
 
 // Guards against claims for invented pools that use up memory.
-TEST(LeaseVotes, PoolsAreBounded) {
+TEST(LeaseVotes, ClaimsForInventedPoolsAreBounded) {
   int granted = 0;
   for (int i = 0; i < 20000; ++i) {
     LeaseClaim claim = Claim("a", 20);
@@ -80,7 +81,8 @@
                        .voters = {InstanceId("b"), InstanceId("c")}},
                       At(0)};
 
-  /// Lets the instance claim; returns the claim sent to `voter`.
+  /// Ticks the instance and returns the claim that it sends to `voter`; empty
+  /// if it sends none.
   proto::OwnershipMessage ClaimTo(const char* voter, Time now) {
     ownership.Tick(now);
     for (const OwnershipSend& send : ownership.TakeOutputs().messages) {
@@ -107,9 +109,9 @@
   }
 };
 
-// Guards against a lease that the owner counts from the answers: the voters'
-// promises may end before.
-TEST(Lease, CountsFromTheSendingOfTheRequest) {
+// Guards against a lease that the owner counts from when the votes arrive: the
+// voters' promises could end earlier.
+TEST(Lease, LeaseCountsFromSendingTheClaim) {
   const ServiceId chat("chat");
   const auto claim = ClaimTo("b", At(3000));
   LONGS_EQUAL(1, claim.pools_size());
@@ -120,9 +122,9 @@
   CHECK(!ownership.HeldEpoch(chat, At(5700)).has_value());
 }
 
-// Guards against votes of one instance counted twice, of instances that were
-// not asked, and of an earlier round.
-TEST(Lease, CountsEachVoterOnceAndOnlyThisRound) {
+// Guards against a majority reached with a second vote of the same instance, a
+// vote of an instance that wasn't asked or one of an earlier round.
+TEST(Lease, VotesCountOncePerVoterAndOnlyInTheirRound) {
   const ServiceId chat("chat");
   const auto first = ClaimTo("b", At(3000));
   const auto second = ClaimTo("b", At(3250));
@@ -135,8 +137,8 @@
   CHECK(ownership.HeldEpoch(chat, At(3271)).has_value());
 }
 
-// Guards against a successor that frees the voters it took over from an owner
-// whose lease still runs.
+// Guards against a successor that gives up and releases the promises that
+// replaced those to an owner whose lease still runs.
 TEST(Lease, FailedHandoverReleasesNoPromises) {
   proto::OwnershipMessage prepare;
   prepare.set_kind(proto::OwnershipMessage::PREPARE);
@@ -161,7 +163,7 @@
   CHECK(!ownership.HeldEpoch(ServiceId("chat"), At(1020)).has_value());
 }
 
-// Guards against majorities of two electorates that don't meet.
+// Guards against disjoint majorities of two different electorates.
 TEST(Lease, ClaimUnderAnotherElectorateGetsNoVote) {
   proto::OwnershipMessage claim;
   claim.set_kind(proto::OwnershipMessage::CLAIM);
--- a/tests/ownership/ownership_cluster.cc
+++ b/tests/ownership/ownership_cluster.cc
@@ -1,4 +1,4 @@
-// Virtual deployment with Ownership.
+// Simulated deployment with Ownership.
 #include "tests/ownership/ownership_cluster.h"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
     if (found == ownerships.end() || outputs.events.empty()) return;
     found->second->SetView(ViewOf(node.membership->Members(), node.data_centre),
                            cluster.now);
-    After(node.id);
+    ProcessOutputs(node.id);
   };
 }
 
@@ -27,11 +27,11 @@
   options.epoch_base = static_cast<std::uint64_t>(
       cluster.now.time_since_epoch() / Milliseconds(100));
   options.voters = cluster.InstancesIn(node.data_centre);
-  std::set<InstanceId> elsewhere;
+  std::set<InstanceId> remote_instances;
   for (const auto& [other, instance] : cluster.nodes) {
-    if (options.voters.count(other) == 0) elsewhere.insert(other);
+    if (options.voters.count(other) == 0) remote_instances.insert(other);
   }
-  options.witness = WitnessOf(node.data_centre, elsewhere);
+  options.witness = WitnessOf(node.data_centre, remote_instances);
   ++generation_[id];
   tick_at_.erase(id);
   ownerships[id] = std::make_unique<Ownership>(options, cluster.now);
@@ -39,7 +39,7 @@
       {{FencedService(), true}, {UnfencedService(), false}}, cluster.now);
   ownerships[id]->SetView(ViewOf(node.membership->Members(), node.data_centre),
                           cluster.now);
-  After(id);
+  ProcessOutputs(id);
 }
 
 void OwnershipCluster::StartAll() {
@@ -53,10 +53,10 @@
 
 void OwnershipCluster::Leave(const InstanceId& id) {
   At(id).Leave(cluster.now);
-  After(id);
+  ProcessOutputs(id);
 }
 
-void OwnershipCluster::After(const InstanceId& id) {
+void OwnershipCluster::ProcessOutputs(const InstanceId& id) {
   Ownership& ownership = *ownerships.at(id);
   OwnershipOutputs outputs = ownership.TakeOutputs();
   const DataCentreId data_centre = cluster.nodes.at(id).data_centre;
@@ -66,15 +66,17 @@
     if (!used_epochs_.insert({event.pool, event.epoch}).second) {
       violation = fmt::format("epoch {} used twice", event.epoch.value());
     }
-    Epoch& own = last_epoch_of_[{id, event.pool}];
-    Epoch& any = last_epoch_[event.pool];
+    Epoch& instance_epoch = last_epoch_of_[{id, event.pool}];
+    Epoch& pool_epoch = last_epoch_[event.pool];
     const bool fenced = event.pool.service == FencedService();
-    if (event.epoch <= own || (!fenced && event.epoch <= any)) {
-      violation = fmt::format("epoch {} of {} after {}", event.epoch.value(),
-                              id.value(), std::max(own, any).value());
+    if (event.epoch <= instance_epoch ||
+        (!fenced && event.epoch <= pool_epoch)) {
+      violation =
+          fmt::format("epoch {} of {} after {}", event.epoch.value(),
+                      id.value(), std::max(instance_epoch, pool_epoch).value());
     }
-    own = event.epoch;
-    any = std::max(any, event.epoch);
+    instance_epoch = event.epoch;
+    pool_epoch = std::max(pool_epoch, event.epoch);
   }
   for (OwnershipSend& send : outputs.messages) {
     cluster.Deliver(
@@ -83,10 +85,10 @@
           const auto found = ownerships.find(to);
           if (found == ownerships.end()) return;
           found->second->OnMessage(id, message, cluster.now);
-          After(to);
+          ProcessOutputs(to);
         });
   }
-  Check();
+  CheckOneUnfencedHolder();
   ScheduleTick(id);
 }
 
@@ -108,16 +110,16 @@
         if (ownerships.count(id) == 0) return;
         if (generation_[id] != generation) return;
         ownerships.at(id)->Tick(cluster.now);
-        After(id);
+        ProcessOutputs(id);
       });
       return;
     }
     ownerships.at(id)->Tick(cluster.now);
-    After(id);
+    ProcessOutputs(id);
   });
 }
 
-void OwnershipCluster::Check() {
+void OwnershipCluster::CheckOneUnfencedHolder() {
   std::map<DataCentreId, InstanceId> holders;
   for (const auto& [id, ownership] : ownerships) {
     if (!ownership->HeldEpoch(UnfencedService(), cluster.now)) continue;
--- a/tests/ownership/ownership_cluster.h
+++ b/tests/ownership/ownership_cluster.h
@@ -1,5 +1,5 @@
-// Ownership on top of the virtual deployment of Membership, with the checks
-// that must hold at every instant.
+// Ownership on top of the simulated deployment of Membership; checks the
+// invariants after every step of an Ownership.
 #ifndef TESTS_OWNERSHIP_OWNERSHIP_CLUSTER_H_
 #define TESTS_OWNERSHIP_OWNERSHIP_CLUSTER_H_
 
@@ -28,26 +28,30 @@
   /// The instance that holds the pool now; empty if none does.
   InstanceId Holder(const DataCentreId& data_centre,
                     const ServiceId& service) const;
-  /// One holder for each pool, and every instance knows it.
+  /// True if each pool has exactly one holder and every running instance of its
+  /// data centre knows it.
   bool Settled() const;
   bool RunUntilSettled(Duration limit);
   Ownership& At(const InstanceId& id) { return *ownerships.at(id); }
 
   Cluster cluster;
   std::map<InstanceId, std::unique_ptr<Ownership>> ownerships;
-  /// First violation; empty if there is none.
+  /// A violated invariant; empty if there is none.
   std::string violation;
-  /// Longest time without a holder and number of acquisitions, by pool.
+  /// Number of acquisitions of each pool.
   std::map<PoolId, int> acquisitions;
 
  private:
-  void After(const InstanceId& id);
+  /// Takes the outputs of an instance, delivers them, checks the invariants and
+  /// schedules its next tick.
+  void ProcessOutputs(const InstanceId& id);
   void ScheduleTick(const InstanceId& id);
-  void Check();
+  void CheckOneUnfencedHolder();
 
   std::map<PoolId, Epoch> last_epoch_;
   std::map<std::pair<InstanceId, PoolId>, Epoch> last_epoch_of_;
   std::set<std::pair<PoolId, Epoch>> used_epochs_;
+  /// Number of starts; invalidates the timers of earlier runs.
   std::map<InstanceId, std::uint64_t> generation_;
   std::map<InstanceId, Time> tick_at_;
 };
--- a/tests/ownership/ownership_test.cc
+++ b/tests/ownership/ownership_test.cc
@@ -1,4 +1,5 @@
-// Failover, hand-over, fencing, flapping and partitions of pool ownership.
+// Pool ownership on failover, hand-over, pause, flapping members, partitions
+// and stale epochs.
 #include "servers/ownership/ownership.h"
 
 #include <CppUTest/TestHarness.h>
@@ -34,9 +35,10 @@
 
 TEST_GROUP(Ownership){};
 
-// Guards against a pool that stays without an owner after its owner died, and
-// against a new owner of unfenced endpoints that doesn't wait the lease out.
-TEST(Ownership, FailoverInDataCentresOfEachSize) {
+// Guards against a pool that stays without an owner after its owner crashed,
+// and against a new owner of an unfenced pool that doesn't wait until the lease
+// has run out.
+TEST(Ownership, CrashedOwnerIsReplacedWithinTheLimit) {
   struct Shape {
     std::vector<int> sizes;
     bool unfenced_fails_over;
@@ -66,13 +68,14 @@
         shape.sizes[0], shape.sizes.size(), ToMilliseconds(worst[0]),
         ToMilliseconds(worst[1]));
     CHECK(worst[0] <= Milliseconds(2500));
-    // Detection, then at most the rest of a lease and one attempt.
+    // Detection, then at most the rest of the lease and one attempt to claim.
     CHECK((worst[1] <= Milliseconds(5500)) == shape.unfenced_fails_over);
   }
 }
 
-// Guards against a hand-over that leaves a pool without an owner, or with two.
-TEST(Ownership, PlannedHandoverTakesOneMessage) {
+// Guards against a planned hand-over that leaves a pool without an owner for
+// longer than one message takes, or with two owners.
+TEST(Ownership, PlannedHandoverGapIsOneMessagePerPool) {
   Duration longest{0};
   for (int seed = 1; seed <= 20; ++seed) {
     OwnershipCluster deployment({3}, seed);
@@ -101,8 +104,9 @@
   CHECK(longest <= Milliseconds(5));
 }
 
-// Guards against a paused owner that acts after its lease has passed on.
-TEST(Ownership, PausedOwnerHoldsNothingWhenItContinues) {
+// Guards against a paused owner that acts under its lease after another
+// instance has taken the pool over.
+TEST(Ownership, PausedOwnerLosesItsLease) {
   OwnershipCluster deployment({3}, 5);
   deployment.StartAll();
   CHECK(deployment.RunUntilSettled(Seconds(20)));
@@ -117,7 +121,7 @@
   CheckNoViolation(deployment);
 }
 
-// Guards against pools that move to and fro with a flapping member.
+// Guards against pools that move each time a flapping member fails or returns.
 TEST(Ownership, FlappingMemberDoesNotMovePools) {
   OwnershipCluster deployment({5}, 8);
   deployment.StartAll();
@@ -132,15 +136,16 @@
     deployment.cluster.Run(Seconds(4));
   }
   LONGS_EQUAL(before + 1, deployment.acquisitions[pool]);
-  // It gets the pool back once it is stable.
+  // The member gets the pool back once it is stable.
   deployment.cluster.Run(Seconds(80));
   CHECK(deployment.Holder(Home(), FencedService()) == flapping);
   CheckNoViolation(deployment);
 }
 
-// Guards against a data centre that can't serve while it is cut off, and
-// against two owners inside a partition where fencing doesn't help.
-TEST(Ownership, PartitionsKeepOneHolderOfAnUnfencedPool) {
+// Guards against a data centre that loses its owner while it is cut off from
+// the others, and against two owners of an unfenced pool when its two instances
+// are cut off from each other.
+TEST(Ownership, UnfencedPoolKeepsOneHolderInPartitions) {
   OwnershipCluster deployment({2, 2, 2}, 9);
   deployment.StartAll();
   CHECK(deployment.RunUntilSettled(Seconds(20)));
@@ -157,7 +162,7 @@
   }
   deployment.cluster.Heal();
   deployment.cluster.Run(Seconds(5));
-  // The two instances lose each other; the witness decides.
+  // The two instances can't reach each other; the vote of the witness decides.
   deployment.cluster.Cut({*inside.begin()}, {*inside.rbegin()}, true);
   deployment.cluster.Run(Seconds(12));
   CHECK(!deployment.Holder(Home(), UnfencedService()).empty());
@@ -167,8 +172,9 @@
 }
 
 // Guards against an owner that keeps acting after an endpoint has shown it a
-// newer epoch, and against input that brings the process down.
-TEST(Ownership, StaleEpochsAndInvalidMessages) {
+// newer epoch, and against invalid messages that are acted on or crash the
+// process.
+TEST(Ownership, OwnerWithStaleEpochStepsDownAndInvalidMessagesAreCounted) {
   OwnershipCluster deployment({3}, 10);
   deployment.StartAll();
   CHECK(deployment.RunUntilSettled(Seconds(20)));
--- a/tests/ownership/randomised_test.cc
+++ b/tests/ownership/randomised_test.cc
@@ -1,6 +1,6 @@
-// Membership and ownership under random faults. A run is repeated by its seed:
-// CASSIAUSHER_SEED=N runs that one, CASSIAUSHER_RUNS=M runs M seeds from N
-// or 1.
+// Membership and ownership under random faults. A seed reproduces a run:
+// CASSIAUSHER_SEED=N runs only seed N, and CASSIAUSHER_RUNS=M runs M seeds from
+// N (default 1) on.
 #include <CppUTest/TestHarness.h>
 #include <fmt/format.h>
 
@@ -16,15 +16,15 @@
 
 constexpr int kRuns = 300;
 constexpr Duration kFaultTime = Seconds(40);
-// After the network heals and all instances run: reconnecting and refuting,
-// then a rest of the longest lease, the stability wait of members that were
-// lost often (60 s) and one hand-over.
+// Limits after the network has healed and all instances run. Membership has to
+// reconnect and refute; ownership then needs the rest of the longest lease, the
+// stability wait of members that were lost often (60 s) and one hand-over.
 constexpr Duration kMembershipConvergence = Seconds(20);
 constexpr Duration kOwnershipConvergence = Seconds(30);
 
-int Setting(const char* name, int otherwise) {
+int IntegerFromEnvironment(const char* name, int default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::atoi(text);
+  return text == nullptr ? default_value : std::atoi(text);
 }
 
 std::vector<std::vector<int>> Shapes() {
@@ -40,7 +40,7 @@
     }
   }
 
-  /// Returns what went wrong; empty if nothing did.
+  /// Returns the invariant or limit that was violated; empty if none was.
   std::string Run() {
     Cluster& cluster = deployment_.cluster;
     for (const InstanceId& id : ids_) {
@@ -50,7 +50,7 @@
     cluster.Run(Seconds(6));
     end_ = cluster.now + kFaultTime;
     while (cluster.now < end_) {
-      Fault();
+      InjectFault();
       cluster.Run(std::min(Milliseconds(random_.Below(3000)),
                            Duration(end_ - cluster.now)));
       if (!deployment_.violation.empty()) return deployment_.violation;
@@ -81,19 +81,19 @@
   Duration ownership_took{0};
 
  private:
-  InstanceId Any() { return ids_[random_.Below(ids_.size())]; }
+  InstanceId RandomInstance() { return ids_[random_.Below(ids_.size())]; }
 
-  std::set<InstanceId> Some() {
-    std::set<InstanceId> some;
+  std::set<InstanceId> RandomSubset() {
+    std::set<InstanceId> subset;
     for (const InstanceId& id : ids_) {
-      if (random_.Chance(0.5)) some.insert(id);
+      if (random_.Chance(0.5)) subset.insert(id);
     }
-    return some;
+    return subset;
   }
 
-  void Fault() {
+  void InjectFault() {
     Cluster& cluster = deployment_.cluster;
-    const InstanceId id = Any();
+    const InstanceId id = RandomInstance();
     const bool running = deployment_.ownerships.count(id) > 0;
     switch (random_.Below(11)) {
       case 0:
@@ -101,7 +101,7 @@
         return;
       case 1:
       case 2:
-        // A restart at once, or of an instance that crashed before.
+        // Restarts a running instance at once, or starts one that has crashed.
         if (running && random_.Chance(0.5)) deployment_.Crash(id);
         if (deployment_.ownerships.count(id) == 0) deployment_.Start(id);
         return;
@@ -113,19 +113,19 @@
         return;
       case 4:
       case 5: {
-        const std::set<InstanceId> some = Some();
+        const std::set<InstanceId> subset = RandomSubset();
         std::set<InstanceId> rest;
         for (const InstanceId& other : ids_) {
-          if (some.count(other) == 0) rest.insert(other);
+          if (subset.count(other) == 0) rest.insert(other);
         }
-        return cluster.Cut(some, rest, random_.Chance(0.6));
+        return cluster.Cut(subset, rest, random_.Chance(0.6));
       }
       case 6:
-        return cluster.Cut({id}, {Any()}, random_.Chance(0.5));
+        return cluster.Cut({id}, {RandomInstance()}, random_.Chance(0.5));
       case 7:
         return cluster.Heal();
       case 9:
-        // A graceful shutdown, with or without the time for a hand-over.
+        // Graceful shutdown, with or without enough time for the hand-over.
         if (!running) return;
         deployment_.Leave(id);
         cluster.Run(Milliseconds(random_.Below(3000)));
@@ -154,23 +154,24 @@
 
 TEST_GROUP(Randomised){};
 
-// Guards against two holders of an unfenced pool, an epoch that doesn't grow,
-// a live member that stays dead, and traffic beyond the budget.
-TEST(Randomised, FaultsKeepTheInvariants) {
-  const int seed_given = Setting("CASSIAUSHER_SEED", 0);
-  const int first = std::max(1, seed_given);
-  const int runs = Setting("CASSIAUSHER_RUNS", seed_given > 0 ? 1 : kRuns);
+// Guards against two holders of an unfenced pool, epochs that don't increase,
+// live members that stay listed as dead, and traffic above the byte budget.
+TEST(Randomised, InvariantsHoldUnderRandomFaults) {
+  const int requested_seed = IntegerFromEnvironment("CASSIAUSHER_SEED", 0);
+  const int first = std::max(1, requested_seed);
+  const int runs = IntegerFromEnvironment("CASSIAUSHER_RUNS",
+                                          requested_seed > 0 ? 1 : kRuns);
   Duration membership{0};
   Duration ownership{0};
   int failures = 0;
   for (int seed = first; seed < first + runs; ++seed) {
     RandomisedRun run(seed);
-    const std::string fault = run.Run();
+    const std::string violation = run.Run();
     membership = std::max(membership, run.membership_took);
     ownership = std::max(ownership, run.ownership_took);
-    if (fault.empty()) continue;
+    if (violation.empty()) continue;
     ++failures;
-    if (failures <= 10) fmt::print("seed {}: {}\n", seed, fault);
+    if (failures <= 10) fmt::print("seed {}: {}\n", seed, violation);
   }
   fmt::print(
       "{} runs, {} failed; after healing, membership converged within "
