--- a/servers/ownership/lease_votes.h
+++ b/servers/ownership/lease_votes.h
@@ -52,8 +52,8 @@
   LeaseVotes(Duration lease, Epoch floor, Time now)
       : lease_(lease), floor_(floor), grants_from_(now + lease) {}
 
-  /// Defers new grants: promises that others gave under the old electorate may
-  /// stay in force for one lease.
+  /// Defers grants to new holders after a change of the electorate: promises
+  /// that others gave under the old one may stay in force for one lease.
   void Settle(Time now) { grants_from_ = now + lease_; }
   /// True once those promises have run out.
   bool Settled(Time now) const { return now >= grants_from_; }
--- a/servers/ownership/ownership.h
+++ b/servers/ownership/ownership.h
@@ -173,8 +173,8 @@
     /// until a majority has voted for that.
     Epoch held_epoch{0};
     Time epoch_raised_at{};
-    /// Highest seen of any instance. The epoch of a claim exceeds it until the
-    /// pool is owned or the claim given up.
+    /// Highest seen of any instance. The epoch of a claim may exceed it until
+    /// the pool is owned or the claim given up.
     Epoch highest{0};
     std::uint64_t round = 0;
     Time round_sent{};
