--- a/servers/ownership/electorate.cc
+++ b/servers/ownership/electorate.cc
@@ -1,4 +1,4 @@
-// Electorate of a data centre and rendezvous scores.
+// Electorate of a data centre, and rendezvous scores of its pools.
 #include "servers/ownership/electorate.h"
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 }
 
 InstanceId WitnessOf(const DataCentreId& data_centre,
-                     const std::set<InstanceId>& elsewhere) {
-  const auto order = ByScore({data_centre, ServiceId()}, elsewhere);
+                     const std::set<InstanceId>& remote_instances) {
+  const auto order = ByScore({data_centre, ServiceId()}, remote_instances);
   return order.empty() ? InstanceId() : order.front();
 }
 
 std::uint64_t PoolScore(const PoolId& pool, const InstanceId& instance) {
-  const std::uint64_t service =
+  const std::uint64_t pool_hash =
       HashText(pool.service.value(), HashText(pool.data_centre.value(), 0));
-  return HashText(instance.value(), service);
+  return HashText(instance.value(), pool_hash);
 }
 
 std::vector<InstanceId> ByScore(const PoolId& pool,
@@ -61,29 +61,29 @@
   }
   seen_.insert(present.begin(), present.end());
   std::set<InstanceId> next = members_;
-  if (starting || MajorityLive()) {
+  if (starting || HasLiveMajority()) {
     next.insert(present.begin(), present.end());
     for (const InstanceId& id : members_) {
-      const bool gone = seen_.count(id) > 0 && present.count(id) == 0;
-      if (!gone) continue;
+      const bool reclaimed = seen_.count(id) > 0 && present.count(id) == 0;
+      if (!reclaimed) continue;
       next.erase(id);
-      forgotten_.insert(id);
+      reclaimed_.insert(id);
     }
   }
-  for (const InstanceId& id : live_) forgotten_.erase(id);
+  for (const InstanceId& id : live_) reclaimed_.erase(id);
   return Replace(std::move(next));
 }
 
-bool Electorate::Unite(const std::set<InstanceId>& others, bool starting) {
-  if (!starting && !MajorityLive()) return false;
+bool Electorate::Merge(const std::set<InstanceId>& others, bool starting) {
+  if (!starting && !HasLiveMajority()) return false;
   std::set<InstanceId> next = members_;
   for (const InstanceId& id : others) {
-    if (forgotten_.count(id) == 0) next.insert(id);
+    if (reclaimed_.count(id) == 0) next.insert(id);
   }
   return Replace(std::move(next));
 }
 
-bool Electorate::MajorityLive() const {
+bool Electorate::HasLiveMajority() const {
   const auto live = std::count_if(
       members_.begin(), members_.end(),
       [this](const InstanceId& id) { return live_.count(id) > 0; });
