--- a/tests/control/configuration_register_test.cc
+++ b/tests/control/configuration_register_test.cc
@@ -1,5 +1,5 @@
-// Guards the order of configurations: none older comes back, and the document
-// of a version never changes.
+// Guards against an older configuration replacing a newer one, and against two
+// documents under one version.
 #include "servers/control/configuration_register.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,24 +13,24 @@
 
 TEST_GROUP(ConfigurationRegister){};
 
-TEST(ConfigurationRegister, TakesHigherVersionsOnly) {
-  ConfigurationRegister current;
-  CHECK_TRUE(current.Apply({Revision(5), "five"}));
-  CHECK_FALSE(current.Apply({Revision(3), "three"}));
-  CHECK_TRUE(current.Apply({Revision(9), "nine"}));
-  CHECK_EQUAL(9u, current.current().version.value());
-  STRCMP_EQUAL("nine", current.current().document.c_str());
+TEST(ConfigurationRegister, OnlyHigherVersionsAreApplied) {
+  ConfigurationRegister configuration;
+  CHECK_TRUE(configuration.Apply({Revision(5), "five"}));
+  CHECK_FALSE(configuration.Apply({Revision(3), "three"}));
+  CHECK_TRUE(configuration.Apply({Revision(9), "nine"}));
+  CHECK_EQUAL(9u, configuration.current().version.value());
+  STRCMP_EQUAL("nine", configuration.current().document.c_str());
 }
 
-// Two operators send other content under one version.
-TEST(ConfigurationRegister, KeepsTheFirstDocumentOfAVersion) {
-  ConfigurationRegister current;
-  current.Apply({Revision(5), "first"});
-  CHECK_FALSE(current.Apply({Revision(5), "second"}));
-  STRCMP_EQUAL("first", current.current().document.c_str());
+// Two operators submit different documents under the same version.
+TEST(ConfigurationRegister, SecondDocumentOfAVersionIsRejected) {
+  ConfigurationRegister configuration;
+  configuration.Apply({Revision(5), "first"});
+  CHECK_FALSE(configuration.Apply({Revision(5), "second"}));
+  STRCMP_EQUAL("first", configuration.current().document.c_str());
 }
 
-TEST(ConfigurationRegister, BytesKeepTheDocument) {
+TEST(ConfigurationRegister, EncodingRoundTripsAndMalformedBytesAreRejected) {
   const VersionedDocument document{Revision(7), std::string("a\0b", 3)};
   VersionedDocument decoded;
   CHECK_TRUE(Decode(Encode(document), &decoded));
@@ -38,18 +38,18 @@
   CHECK_FALSE(Decode("\xff\xff\xff", &decoded));
 }
 
-TEST(ConfigurationRegister, NeverGoesBackWhateverTheOrder) {
+TEST(ConfigurationRegister, VersionNeverDecreasesInAnyOrderOfDocuments) {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     Random random(seed);
-    ConfigurationRegister current;
+    ConfigurationRegister configuration;
     Revision highest(0);
     for (int i = 0; i < 20; ++i) {
       const Revision version(random.Below(15));
-      const Revision before = current.current().version;
-      current.Apply({version, std::to_string(random.Below(1000))});
+      const Revision before = configuration.current().version;
+      configuration.Apply({version, std::to_string(random.Below(1000))});
       highest = std::max(highest, version);
-      CHECK_TRUE(current.current().version >= before);
-      CHECK_TRUE(current.current().version == highest);
+      CHECK_TRUE(configuration.current().version >= before);
+      CHECK_TRUE(configuration.current().version == highest);
     }
   }
 }
--- a/tests/control/endpoint_registry_test.cc
+++ b/tests/control/endpoint_registry_test.cc
@@ -1,6 +1,6 @@
-// Guards what control instances believe of endpoints: a departing one never
-// comes back, a late heartbeat changes nothing, and two instances that heard
-// the same in another order agree.
+// Guards against a departed or draining endpoint that becomes ready again, a
+// delayed heartbeat that overwrites newer state, and control instances that
+// disagree after they received the same records in different orders.
 #include "servers/control/endpoint_registry.h"
 
 #include <CppUTest/TestHarness.h>
@@ -15,14 +15,14 @@
 
 constexpr Time kStart{Seconds(100)};
 
-EndpointRecord Runner(std::uint64_t born, std::uint64_t sequence,
+EndpointRecord Runner(std::uint64_t incarnation, std::uint64_t sequence,
                       EndpointLifecycle state = EndpointLifecycle::kReady) {
   return {.id = EndpointId("r1"),
           .service = ServiceId("model"),
           .address = "10.0.0.1:80",
           .role = EndpointRole::kDecode,
           .state = state,
-          .incarnation = Incarnation(born),
+          .incarnation = Incarnation(incarnation),
           .sequence = sequence};
 }
 
@@ -32,7 +32,7 @@
   EndpointRegistry registry{EndpointRegistryOptions{}};
 };
 
-TEST(EndpointRegistry, AHeartbeatWithoutNewsChangesNothing) {
+TEST(EndpointRegistry, UnchangedHeartbeatDoesNotIncreaseTheRevision) {
   CHECK_TRUE(registry.Update(Runner(1, 1), kStart));
   CHECK_FALSE(registry.Update(Runner(1, 2), kStart + Seconds(1)));
   CHECK_EQUAL(1u, registry.revision());
@@ -41,14 +41,14 @@
 }
 
 // A heartbeat that was sent before the drain arrives after it.
-TEST(EndpointRegistry, ALateHeartbeatDoesNotEndADrain) {
+TEST(EndpointRegistry, DelayedHeartbeatDoesNotEndADrain) {
   registry.Update(Runner(1, 5, EndpointLifecycle::kDraining), kStart);
   CHECK_FALSE(registry.Update(Runner(1, 4), kStart));
   CHECK_TRUE(registry.Find(EndpointId("r1"))->state ==
              EndpointLifecycle::kDraining);
 }
 
-TEST(EndpointRegistry, ADepartureIsFinalForTheIncarnation) {
+TEST(EndpointRegistry, DepartureIsFinalWithinAnIncarnation) {
   registry.Update(Runner(7, 5), kStart);
   CHECK_TRUE(registry.MarkDeparted(EndpointId("r1"), kStart));
   CHECK_FALSE(registry.MarkDeparted(EndpointId("r1"), kStart));
@@ -57,8 +57,8 @@
              EndpointLifecycle::kDeparted);
 }
 
-// A runner may start again under the id that it had; its counts start anew.
-TEST(EndpointRegistry, ALaterStartIsANewEndpoint) {
+// A runner may restart under the same id; its sequence numbers start again.
+TEST(EndpointRegistry, LaterIncarnationReplacesADepartedOne) {
   registry.Update(Runner(7, 50), kStart);
   registry.MarkDeparted(EndpointId("r1"), kStart);
   CHECK_TRUE(registry.Update(Runner(8, 1), kStart));
@@ -68,7 +68,7 @@
   CHECK_EQUAL(8u, registry.Find(EndpointId("r1"))->incarnation.value());
 }
 
-TEST(EndpointRegistry, SilenceIsReportedAndEnds) {
+TEST(EndpointRegistry, SilentEndpointIsReportedUntilItsNextHeartbeat) {
   registry.Update(Runner(1, 1), kStart);
   CHECK_EQUAL(0u, registry.Silent(kStart + Seconds(1)).size());
   CHECK_EQUAL(1u, registry.Silent(kStart + Seconds(10)).size());
@@ -76,14 +76,14 @@
   CHECK_EQUAL(0u, registry.Silent(kStart + Seconds(10)).size());
 }
 
-// A repeated statement of another control instance is no sign of life.
-TEST(EndpointRegistry, AnOldStatementIsNoSignOfLife) {
+// Another control instance resends a record; this isn't a new heartbeat.
+TEST(EndpointRegistry, RepeatedRecordDoesNotEndSilence) {
   registry.Update(Runner(1, 1), kStart);
   registry.Update(Runner(1, 1), kStart + Seconds(9));
   CHECK_EQUAL(1u, registry.Silent(kStart + Seconds(10)).size());
 }
 
-TEST(EndpointRegistry, ForgetsWhatIsLongGone) {
+TEST(EndpointRegistry, EndpointWithoutHeartbeatsExpires) {
   registry.Update(Runner(1, 1), kStart);
   registry.Expire(kStart + Seconds(60));
   CHECK_EQUAL(1u, registry.size());
@@ -91,26 +91,26 @@
   CHECK_EQUAL(0u, registry.size());
 }
 
-TEST(EndpointRegistry, TwoInstancesAgreeWhateverTheOrder) {
+TEST(EndpointRegistry, RegistriesAgreeInAnyOrderOfRecords) {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     Random random(seed);
-    std::vector<EndpointRecord> statements;
+    std::vector<EndpointRecord> records;
     for (int i = 0; i < 12; ++i) {
       const auto state = random.Chance(0.3) ? EndpointLifecycle::kDraining
                                             : EndpointLifecycle::kReady;
       EndpointRecord record =
           Runner(1 + random.Below(3), 1 + random.Below(6), state);
-      // What a runner says under one number is always the same.
+      // A runner's record for one sequence number is always the same.
       record.slots = static_cast<int>(record.sequence);
       record.state = record.sequence > 3 ? EndpointLifecycle::kDraining
                                          : EndpointLifecycle::kReady;
-      statements.push_back(record);
+      records.push_back(record);
     }
     EndpointRegistry first{EndpointRegistryOptions{}};
     EndpointRegistry second{EndpointRegistryOptions{}};
-    for (const auto& record : statements) first.Update(record, kStart);
-    std::shuffle(statements.begin(), statements.end(), random.engine());
-    for (const auto& record : statements) second.Update(record, kStart);
+    for (const auto& record : records) first.Update(record, kStart);
+    std::shuffle(records.begin(), records.end(), random.engine());
+    for (const auto& record : records) second.Update(record, kStart);
     CHECK_TRUE(*first.Find(EndpointId("r1")) == *second.Find(EndpointId("r1")));
   }
 }
--- a/tests/control/serving_configuration_test.cc
+++ b/tests/control/serving_configuration_test.cc
@@ -1,4 +1,5 @@
-// Guards which route serves a request and which configurations are refused.
+// Guards against requests that take the wrong route or target, and against
+// unusable configurations that pass validation.
 #include "servers/control/serving_configuration.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,7 +27,7 @@
 
 TEST_GROUP(ServingConfiguration){};
 
-TEST(ServingConfiguration, TheLongestPrefixServes) {
+TEST(ServingConfiguration, RouteWithTheLongestPrefixIsFound) {
   const RouteTable table(MakeConfiguration());
   STRCMP_EQUAL("long", table.Find("a.example", "/a/b/c")->name.c_str());
   STRCMP_EQUAL("short", table.Find("a.example", "/a/c")->name.c_str());
@@ -34,18 +35,18 @@
   POINTERS_EQUAL(nullptr, table.Find("b.example", "/a/"));
 }
 
-TEST(ServingConfiguration, AProperOneHasNoFindings) {
+TEST(ServingConfiguration, ValidConfigurationHasNoFindings) {
   CHECK_TRUE(Validate(MakeConfiguration()).empty());
 }
 
-TEST(ServingConfiguration, EachFaultIsFound) {
+TEST(ServingConfiguration, InvalidRoutesAreReported) {
   ServingConfiguration unknown = MakeConfiguration();
   unknown.routes[0].targets = {{ServiceId("x"), 1}};
   CHECK_FALSE(Validate(unknown).empty());
 
-  ServingConfiguration same_place = MakeConfiguration();
-  same_place.routes[1].path_prefix = "/a/";
-  CHECK_FALSE(Validate(same_place).empty());
+  ServingConfiguration same_prefix = MakeConfiguration();
+  same_prefix.routes[1].path_prefix = "/a/";
+  CHECK_FALSE(Validate(same_prefix).empty());
 
   ServingConfiguration no_weight = MakeConfiguration();
   no_weight.routes[0].targets = {{ServiceId("s"), 0}, {ServiceId("s"), 0}};
@@ -56,7 +57,7 @@
   CHECK_FALSE(Validate(no_timeout).empty());
 }
 
-TEST(ServingConfiguration, WeightsDecideTheTarget) {
+TEST(ServingConfiguration, TargetIsPickedByWeight) {
   Route route = MakeRoute("split", "/a/", "s");
   route.targets = {
       {ServiceId("a"), 90}, {ServiceId("none"), 0}, {ServiceId("b"), 10}};
--- a/tests/control/stage_balancer_test.cc
+++ b/tests/control/stage_balancer_test.cc
@@ -1,5 +1,5 @@
-// Guards the split of runners between reading and writing: it follows a lasting
-// imbalance, doesn't flap, and leaves runners to each stage.
+// Guards against a split of runners between prefill and decode that doesn't
+// follow a lasting imbalance, flaps, or leaves a stage with too few runners.
 #include "servers/control/stage_balancer.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,12 +16,12 @@
 constexpr Time kStart{Seconds(100)};
 constexpr Tokens kCapacity{100000};
 
-std::vector<RunnerLoad> Runners(int prefill, int decode, int reading,
+std::vector<RunnerLoad> Runners(int prefill, int decode, int prefill_requests,
                                 std::int64_t kv_tokens) {
   std::vector<RunnerLoad> runners;
   for (int i = 0; i < prefill; ++i) {
     runners.push_back({EndpointId("p" + std::to_string(i)),
-                       EndpointRole::kPrefill, reading, Tokens(0)});
+                       EndpointRole::kPrefill, prefill_requests, Tokens(0)});
   }
   for (int i = 0; i < decode; ++i) {
     runners.push_back({EndpointId("d" + std::to_string(i)),
@@ -35,7 +35,7 @@
 TEST_GROUP(StageBalancer) {
   StageBalancer balancer{StageBalancerOptions{}};
 
-  // Steps each 600 ms; returns the first order.
+  // Calls Step() every 600 ms for `time`; returns the first order.
   std::optional<StageOrder> Run(const std::vector<RunnerLoad>& runners,
                                 Time from, Duration time) {
     for (Time now = from; now < from + time; now += Milliseconds(600)) {
@@ -48,32 +48,32 @@
   }
 };
 
-// Pattern: a burst of long answers fills the decode runners while prefill
-// runners idle.
-TEST(StageBalancer, AnIdlePrefillRunnerHelpsFullDecodeRunners) {
+// A burst of long responses fills the decode runners while prefill runners are
+// idle.
+TEST(StageBalancer, IdlePrefillRunnerSwitchesWhenDecodeIsFull) {
   const auto order = Run(Runners(3, 5, 0, 79000), kStart, Seconds(20));
   CHECK_TRUE(order.has_value());
   CHECK_TRUE(order->role == EndpointRole::kDecode);
   CHECK_EQUAL('p', order->endpoint.value().front());
 }
 
-// Pattern: the traffic shifts to long prompts.
-TEST(StageBalancer, ADecodeRunnerHelpsBusyPrefillRunners) {
+// Traffic shifts to long prompts.
+TEST(StageBalancer, DecodeRunnerSwitchesWhenPrefillIsOverloaded) {
   const auto order = Run(Runners(2, 7, 3, 10000), kStart, Seconds(20));
   CHECK_TRUE(order.has_value());
   CHECK_TRUE(order->role == EndpointRole::kPrefill);
 }
 
-// Pattern: a burst comes faster than a change of stage, so a prefill runner
-// that nobody needs has to change before it.
-TEST(StageBalancer, ASparePrefillRunnerChangesBeforeAnOverload) {
+// A burst builds up faster than a runner can switch, so a spare prefill runner
+// has to switch before it.
+TEST(StageBalancer, SparePrefillRunnerSwitchesBeforeAnOverload) {
   const auto order = Run(Runners(4, 5, 0, 45000), kStart, Seconds(8));
   CHECK_TRUE(order.has_value());
   CHECK_TRUE(order->role == EndpointRole::kDecode);
 }
 
-// Pattern: a prefill runner crashes; the others must still read all prompts.
-TEST(StageBalancer, PrefillRunnersForTheLossOfOneRemain) {
+// A prefill runner crashes; the remaining ones must still handle all prompts.
+TEST(StageBalancer, EnoughPrefillRunnersRemainToLoseOne) {
   CHECK_FALSE(Run(Runners(3, 5, 0, 60000), kStart, Seconds(60)).has_value());
   CHECK_FALSE(Run(Runners(10, 30, 0, 60000), kStart, Seconds(60)).has_value());
 }
@@ -85,8 +85,8 @@
   CHECK_FALSE(Run(runners, kStart, Seconds(60)).has_value());
 }
 
-// Pattern: the first burst comes seconds after the first request.
-TEST(StageBalancer, AnIdleServiceStartsWithAThirdOfItsRunnersReading) {
+// The first burst follows the first request within seconds.
+TEST(StageBalancer, IdleServiceKeepsAThirdOfItsRunnersInPrefill) {
   const auto order = Run(Runners(4, 5, 0, 0), kStart, Seconds(4));
   CHECK_TRUE(order.has_value());
   CHECK_TRUE(order->role == EndpointRole::kDecode);
@@ -97,23 +97,23 @@
   }
 }
 
-// Pattern: all callers come back after a loss of power. Prompts wait for each
-// other for a while, and decode runners are nearly full.
-TEST(StageBalancer, WaitingPromptsTakeNoFullDecodeRunner) {
+// All callers reconnect after a power failure. Prompts queue for a while, and
+// decode runners are nearly full.
+TEST(StageBalancer, NearlyFullDecodeRunnersStayWhenPromptsQueue) {
   CHECK_FALSE(Run(Runners(4, 4, 2, 72000), kStart, Seconds(60)).has_value());
 }
 
-// Pattern: a burst fills both stages. The third prefill runner given away would
-// leave prompts waiting beyond the latency target.
-TEST(StageBalancer, ABurstTakesNoPrefillRunnerThatItNeeds) {
+// A burst loads both stages. Without the third prefill runner, prompts would
+// wait beyond the latency target.
+TEST(StageBalancer, NeededPrefillRunnerStaysDuringABurst) {
   std::vector<RunnerLoad> runners = Runners(3, 6, 1, 75000);
   runners[0].requests = 0;
   CHECK_FALSE(Run(runners, kStart, Seconds(60)).has_value());
 }
 
-// Pattern: the runners of a service are replaced one after the other, and those
-// that come read fewer prompts. One prefill runner is left for all.
-TEST(StageBalancer, ALossOfPrefillRunnersIsMadeUpForSoon) {
+// A rolling replacement of a service's runners adds fewer prefill runners than
+// it removes, until a single one is left for all prompts.
+TEST(StageBalancer, LostPrefillRunnersAreReplacedWithinSeconds) {
   CHECK_FALSE(Run(Runners(3, 6, 1, 40000), kStart, Seconds(20)).has_value());
   const Time lost = kStart + Seconds(20);
   const auto order = Run(Runners(1, 8, 12, 30000), lost, Milliseconds(3500));
@@ -121,8 +121,8 @@
   CHECK_TRUE(order->role == EndpointRole::kPrefill);
 }
 
-// Pattern: a zone is cut off while its runner is ordered to change.
-TEST(StageBalancer, AnOrderThatIsNotDeliveredGoesToAnotherRunner) {
+// A zone is partitioned off while its runner is ordered to switch.
+TEST(StageBalancer, UndeliveredOrderIsSentToAnotherRunner) {
   const auto runners = Runners(1, 8, 12, 30000);
   const auto first = Run(runners, kStart, Seconds(10));
   CHECK_TRUE(first.has_value());
@@ -132,25 +132,25 @@
   CHECK_TRUE(second->endpoint != first->endpoint);
 }
 
-TEST(StageBalancer, AQuietServiceStays) {
+TEST(StageBalancer, ServiceWithLowLoadGetsNoOrder) {
   CHECK_FALSE(Run(Runners(3, 6, 0, 10000), kStart, Seconds(60)).has_value());
 }
 
-TEST(StageBalancer, ABalancedServiceStays) {
+TEST(StageBalancer, BalancedServiceGetsNoOrder) {
   CHECK_FALSE(Run(Runners(3, 6, 1, 70000), kStart, Seconds(60)).has_value());
 }
 
-TEST(StageBalancer, AShortPeakChangesNothing) {
+TEST(StageBalancer, ShortPeakGetsNoOrder) {
   CHECK_FALSE(Run(Runners(3, 5, 0, 70000), kStart, Seconds(1)).has_value());
   CHECK_FALSE(
       Run(Runners(3, 5, 0, 0), kStart + Seconds(1), Seconds(9)).has_value());
 }
 
-TEST(StageBalancer, EachStageKeepsRunners) {
+TEST(StageBalancer, StageKeepsItsMinimumOfRunners) {
   CHECK_FALSE(Run(Runners(2, 5, 0, 79000), kStart, Seconds(60)).has_value());
 }
 
-TEST(StageBalancer, OrdersOfAServiceArePaused) {
+TEST(StageBalancer, OrdersOfAServiceAreACooldownApart) {
   const auto overloaded = Runners(5, 3, 0, 79000);
   std::vector<Time> orders;
   for (Time now = kStart; now < kStart + Seconds(60);
@@ -167,20 +167,21 @@
   }
 }
 
-// Demand that swings faster than a change takes must not make runners swing.
-TEST(StageBalancer, FastSwingsDoNotMakeItFlap) {
+// Load that oscillates faster than a runner can switch must not make runners
+// flap.
+TEST(StageBalancer, FastOscillationDoesNotMakeRunnersFlap) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     Random random(seed);
-    StageBalancer swinging{StageBalancerOptions{}};
+    StageBalancer oscillating{StageBalancerOptions{}};
     std::map<EndpointId, int> orders;
     for (Time now = kStart; now < kStart + Seconds(60);
          now += Milliseconds(600)) {
       const bool decode_peak = (now - kStart) / Seconds(2) % 2 == 0;
       const auto runners =
           decode_peak ? Runners(3, 6, 0, 70000) : Runners(3, 6, 2, 10000);
-      const auto order = swinging.Step(runners, kCapacity, now);
+      const auto order = oscillating.Step(runners, kCapacity, now);
       if (!order.has_value()) continue;
-      swinging.OnOrderSent(*order, now);
+      oscillating.OnOrderSent(*order, now);
       ++orders[order->endpoint];
     }
     for (const auto& [id, count] : orders) CHECK_TRUE(count <= 2);
--- a/tests/control/voter_planner_test.cc
+++ b/tests/control/voter_planner_test.cc
@@ -1,5 +1,5 @@
-// Guards the group of voters: a lost one is replaced before another can be
-// lost, and the group doesn't grow to an even number.
+// Guards against a Raft group that keeps a lost voter, so that the loss of
+// another one costs the quorum, or that stays at an even number of voters.
 #include "servers/control/voter_planner.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,7 +13,7 @@
   return {InstanceId(instance), storage};
 }
 
-VoterView Three() {
+VoterView ThreeVoters() {
   VoterView view;
   view.configuration.group = 1;
   for (const char* name : {"a", "b", "c"}) {
@@ -33,13 +33,13 @@
 
 TEST_GROUP(VoterPlanner) { VoterPlannerOptions options; };
 
-TEST(VoterPlanner, ACompleteGroupStays) {
-  CHECK_TRUE(Is<NoStep>(PlanVoters(options, Three())));
+TEST(VoterPlanner, HealthyGroupIsNotChanged) {
+  CHECK_TRUE(Is<NoStep>(PlanVoters(options, ThreeVoters())));
 }
 
-// A machine is gone for good and another comes at a new address.
-TEST(VoterPlanner, ASpareReplacesASilentVoter) {
-  VoterView view = Three();
+// A machine is lost for good and another one joins at a new address.
+TEST(VoterPlanner, SilentVoterIsReplacedByASpare) {
+  VoterView view = ThreeVoters();
   view.silence[Replica("c")] = Seconds(3);
   CHECK_TRUE(Is<NoStep>(PlanVoters(options, view)));
   view.unconfigured[Replica("d")] = Milliseconds(100);
@@ -49,9 +49,9 @@
   CHECK_TRUE(std::get<ReplaceStep>(step).replacement == Replica("d"));
 }
 
-// An instance that lost its disk takes its own place.
-TEST(VoterPlanner, AWipedInstanceReplacesItself) {
-  VoterView view = Three();
+// An instance that lost its disk comes back with new storage.
+TEST(VoterPlanner, LostVoterIsReplacedByItsOwnInstance) {
+  VoterView view = ThreeVoters();
   view.silence[Replica("c")] = Seconds(3);
   view.unconfigured[Replica("a0")] = Milliseconds(100);
   view.unconfigured[Replica("c", 2)] = Milliseconds(100);
@@ -59,15 +59,15 @@
   CHECK_TRUE(std::get<ReplaceStep>(step).replacement == Replica("c", 2));
 }
 
-TEST(VoterPlanner, ASpareThatWentSilentIsNotUsed) {
-  VoterView view = Three();
+TEST(VoterPlanner, SilentSpareIsNotUsed) {
+  VoterView view = ThreeVoters();
   view.silence[Replica("c")] = Seconds(3);
   view.unconfigured[Replica("d")] = Seconds(30);
   CHECK_TRUE(Is<NoStep>(PlanVoters(options, view)));
 }
 
-TEST(VoterPlanner, GrowsByTwo) {
-  VoterView view = Three();
+TEST(VoterPlanner, GroupGrowsByTwoVoters) {
+  VoterView view = ThreeVoters();
   view.unconfigured[Replica("d")] = Milliseconds(100);
   CHECK_TRUE(Is<NoStep>(PlanVoters(options, view)));
   view.unconfigured[Replica("e")] = Milliseconds(100);
@@ -85,17 +85,17 @@
   CHECK_TRUE(Is<PromoteStep>(PlanVoters(options, view)));
 }
 
-TEST(VoterPlanner, DoesNotGrowBeyondItsBound) {
+TEST(VoterPlanner, GroupDoesNotGrowBeyondTheMaximum) {
   options.max_voters = 3;
-  VoterView view = Three();
+  VoterView view = ThreeVoters();
   view.unconfigured[Replica("d")] = Milliseconds(100);
   view.unconfigured[Replica("e")] = Milliseconds(100);
   CHECK_TRUE(Is<NoStep>(PlanVoters(options, view)));
 }
 
-// A learner that is gone would hold up every later change.
-TEST(VoterPlanner, ASilentLearnerLeaves) {
-  VoterView view = Three();
+// A lost learner would block every later membership change.
+TEST(VoterPlanner, SilentLearnerIsRemoved) {
+  VoterView view = ThreeVoters();
   view.configuration.learners.insert(Replica("d"));
   view.silence[Replica("d")] = Seconds(5);
   CHECK_TRUE(Is<RemoveLearnerStep>(PlanVoters(options, view)));
