--- a/servers/scaling/load_scheduler.cc
+++ b/servers/scaling/load_scheduler.cc
@@ -1,4 +1,4 @@
-// Token bucket, count limit and priority of weight loads.
+// Token bucket, concurrency limit and precedence of weight loads.
 #include "servers/scaling/load_scheduler.h"
 
 #include <algorithm>
@@ -9,20 +9,21 @@
 
 void LoadScheduler::Advance(Time now) {
   const double burst = static_cast<double>(options_.burst.value());
-  if (advanced_ && now > *advanced_) {
-    level_ += options_.bytes_per_second * ToSeconds(now - *advanced_);
+  if (advanced_at_ && now > *advanced_at_) {
+    level_ += options_.bytes_per_second * ToSeconds(now - *advanced_at_);
     level_ = std::min(level_, burst);
   }
-  advanced_ = advanced_ ? std::max(*advanced_, now) : now;
+  advanced_at_ = advanced_at_ ? std::max(*advanced_at_, now) : now;
   std::erase_if(running_, [now](const auto& entry) {
-    return entry.second.ends && *entry.second.ends <= now;
+    return entry.second.ends_at && *entry.second.ends_at <= now;
   });
   std::erase_if(waiting_, [&](const auto& entry) {
-    return now - entry.second.asked > options_.wait_expiry;
+    return now - entry.second.last_request > options_.wait_expiry;
   });
 }
 
-bool LoadScheduler::Before(const Waiting& a, const Waiting& b, Time now) const {
+bool LoadScheduler::Precedes(const Waiting& a, const Waiting& b,
+                             Time now) const {
   const bool a_starved = now - a.since >= options_.starved_after;
   const bool b_starved = now - b.since >= options_.starved_after;
   if (a_starved != b_starved) return a_starved;
@@ -42,13 +43,13 @@
   Waiting& own = waiting_.try_emplace(request.endpoint, Waiting{.since = now})
                      .first->second;
   own.request = request;
-  own.asked = now;
+  own.last_request = now;
   if (running() >= options_.loads_at_once) {
     ++counters_.delayed_by_count;
     return false;
   }
   for (const auto& [endpoint, other] : waiting_) {
-    if (endpoint == request.endpoint || !Before(other, own, now)) continue;
+    if (endpoint == request.endpoint || !Precedes(other, own, now)) continue;
     ++counters_.delayed_by_priority;
     return false;
   }
@@ -60,8 +61,9 @@
   level_ -= size;
   waiting_.erase(request.endpoint);
   running_.emplace(request.endpoint, Running{.size = request.size});
-  CheckInvariant(running() <= options_.loads_at_once,
-                 "no more loads run than the weight store allows");
+  CheckInvariant(
+      running() <= options_.loads_at_once,
+      "running loads don't exceed the maximum number of concurrent loads");
   ++counters_.started;
   return true;
 }
@@ -83,7 +85,7 @@
   const auto found = running_.find(endpoint);
   if (found == running_.end()) return;
   const double rate = options_.bytes_per_second / options_.loads_at_once;
-  found->second.ends =
+  found->second.ends_at =
       now + FromSeconds(static_cast<double>(found->second.size.value()) / rate);
   ++counters_.abandoned;
 }
--- a/servers/scaling/pool_planner.cc
+++ b/servers/scaling/pool_planner.cc
@@ -1,4 +1,4 @@
-// Prediction, hysteresis and the life of one change.
+// Load prediction, hysteresis and the life cycle of a change.
 #include "servers/scaling/pool_planner.h"
 
 #include <fmt/format.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Load of a role that has demand and no endpoint. Finite, so that the benefit
-/// of a move can be computed.
+/// Load of a role that has demand but no endpoint. Finite, so that the benefit
+/// of a role change can be computed.
 constexpr double kLoadWithoutCapacity = 1000;
 
 const char* RoleName(EndpointRole role) {
@@ -112,12 +112,12 @@
 
 PoolPlanner::PoolPlanner(PoolPlannerOptions options, LoadScheduler* scheduler)
     : options_(std::move(options)), scheduler_(scheduler) {
-  // A pool without an endpoint of a role can't serve long prompts.
+  // A pool without any endpoint of a role can't serve long prompts.
   options_.prefill_minimum = std::max(options_.prefill_minimum, 0);
   options_.decode_minimum = std::max(options_.decode_minimum, 1);
 }
 
-PoolPlanner::~PoolPlanner() { DropChange(observed_.value_or(Time{})); }
+PoolPlanner::~PoolPlanner() { DropChange(observed_at_.value_or(Time{})); }
 
 void PoolPlanner::SetLease(bool held, Epoch epoch, Time now) {
   if (held && epoch < highest_epoch_used_) {
@@ -128,7 +128,7 @@
   if (change_) ++counters_.abandoned;
   DropChange(now);
   lease_held_ = held;
-  short_role_.reset();
+  needed_role_.reset();
   if (!held) return;
   epoch_ = epoch;
   settled_at_ = now + options_.settle_time;
@@ -166,7 +166,7 @@
     return;
   }
   if (result.outcome == OrderOutcome::kDone) {
-    Enter(ChangePhase::kConfirming, now);
+    EnterPhase(ChangePhase::kConfirming, now);
     return;
   }
   ++counters_.orders_failed;
@@ -175,7 +175,8 @@
     Abandon(true, now);
     return;
   }
-  // An endpoint answers a repeated id as before; a new try needs a new id.
+  // An endpoint answers a retransmitted id as before, so a retry needs a new
+  // id.
   change_->attempts = 0;
   change_->next_send = now + change_->backoff;
 }
@@ -190,8 +191,9 @@
          endpoint.info.role != EndpointRole::kPlain;
 }
 
-int PoolPlanner::Count(const PoolObservation& observation, EndpointRole role,
-                       const EndpointId& except) const {
+int PoolPlanner::CountUsable(const PoolObservation& observation,
+                             EndpointRole role,
+                             const EndpointId& except) const {
   return static_cast<int>(
       std::count_if(observation.endpoints.begin(), observation.endpoints.end(),
                     [&](const EndpointStatus& endpoint) {
@@ -206,18 +208,18 @@
   const EndpointRole role = without.info.role;
   const int minimum = role == EndpointRole::kPrefill ? options_.prefill_minimum
                                                      : options_.decode_minimum;
-  return Count(observation, role, without.info.id) >= minimum;
+  return CountUsable(observation, role, without.info.id) >= minimum;
 }
 
-bool PoolPlanner::Ready(const std::map<EndpointId, Time>& ready,
-                        const EndpointId& id, Time now) const {
-  const auto found = ready.find(id);
-  return found == ready.end() || found->second <= now;
+bool PoolPlanner::Elapsed(const std::map<EndpointId, Time>& until,
+                          const EndpointId& id, Time now) const {
+  const auto found = until.find(id);
+  return found == until.end() || found->second <= now;
 }
 
-PoolPlanner::Loads PoolPlanner::Predict(const PoolObservation& observation,
-                                        const EndpointStatus* moved,
-                                        EndpointRole to) const {
+PoolPlanner::Loads PoolPlanner::PredictLoads(const PoolObservation& observation,
+                                             const EndpointStatus* moved,
+                                             EndpointRole to) const {
   double arrived = 0;
   double output = 0;
   double queued = 0;
@@ -238,9 +240,9 @@
       decode_capacity += endpoint.info.slots * options_.tokens_per_slot_second;
     }
   }
-  // Refused requests would have had output too, and so will queued ones; both
-  // loads grow by the same factor, so that a queue doesn't look like a lack of
-  // prefill when decode is the cause.
+  // Refused requests would have had output too, and queued ones will have it.
+  // The queue scales both loads by the same factor, so that it doesn't look
+  // like a lack of prefill capacity when decode is the cause.
   const double served = arrived > 0
                             ? std::max(1 - RefusedRate(observation) / arrived,
                                        options_.served_share_minimum)
@@ -253,7 +255,7 @@
 
 std::optional<PoolPlanner::Move> PoolPlanner::FindMove(
     const PoolObservation& observation, Time now, bool respect_cooldown) const {
-  const Loads before = Predict(observation);
+  const Loads before = PredictLoads(observation);
   if (before.bottleneck() < options_.load_minimum) return std::nullopt;
   Move move{.to = before.prefill > before.decode ? EndpointRole::kPrefill
                                                  : EndpointRole::kDecode,
@@ -265,8 +267,8 @@
   for (const EndpointStatus& endpoint : observation.endpoints) {
     if (!Usable(endpoint) || endpoint.info.role == move.to) continue;
     const EndpointId& id = endpoint.info.id;
-    if (respect_cooldown &&
-        (!Ready(role_ready_, id, now) || !Ready(failed_until_, id, now))) {
+    if (respect_cooldown && (!Elapsed(endpoint_cooldown_until_, id, now) ||
+                             !Elapsed(excluded_until_, id, now))) {
       continue;
     }
     if (!move.endpoint || key(endpoint) < key(*move.endpoint)) {
@@ -274,7 +276,7 @@
     }
   }
   if (!move.endpoint) return std::nullopt;
-  move.after = Predict(observation, move.endpoint, move.to);
+  move.after = PredictLoads(observation, move.endpoint, move.to);
   const double benefit =
       (before.bottleneck() - move.after.bottleneck()) / before.bottleneck();
   if (benefit < options_.benefit_margin) return std::nullopt;
@@ -289,37 +291,37 @@
 }
 
 void PoolPlanner::Track(const PoolObservation& observation, Time now) {
-  if (observed_) {
-    CheckInvariant(now >= *observed_, "time doesn't go back");
-    if (now - *observed_ > options_.observation_gap) short_role_.reset();
+  if (observed_at_) {
+    CheckInvariant(now >= *observed_at_, "observation times never decrease");
+    if (now - *observed_at_ > options_.observation_gap) needed_role_.reset();
   }
-  observed_ = now;
-  loads_ = Predict(observation);
-  prefill_endpoints_ = Count(observation, EndpointRole::kPrefill, {});
-  decode_endpoints_ = Count(observation, EndpointRole::kDecode, {});
-  missing_ = 0;
+  observed_at_ = now;
+  loads_ = PredictLoads(observation);
+  prefill_endpoints_ = CountUsable(observation, EndpointRole::kPrefill, {});
+  decode_endpoints_ = CountUsable(observation, EndpointRole::kDecode, {});
+  missing_artifacts_ = 0;
   for (const EndpointStatus& endpoint : observation.endpoints) {
     if (!Present(endpoint) || endpoint.info.role == EndpointRole::kPlain) {
       continue;
     }
     for (const WantedArtifact& item : wanted_) {
-      if (!endpoint.loaded.contains(item.id)) ++missing_;
+      if (!endpoint.loaded.contains(item.id)) ++missing_artifacts_;
     }
   }
   const auto past = [now](const auto& entry) { return entry.second <= now; };
-  std::erase_if(role_ready_, past);
-  std::erase_if(failed_until_, past);
+  std::erase_if(endpoint_cooldown_until_, past);
+  std::erase_if(excluded_until_, past);
 
   const auto move = FindMove(observation, now, false);
   if (!move) {
-    short_role_.reset();
-  } else if (short_role_ != move->to) {
-    short_role_ = move->to;
-    short_since_ = now;
+    needed_role_.reset();
+  } else if (needed_role_ != move->to) {
+    needed_role_ = move->to;
+    needed_since_ = now;
   }
 }
 
-ScalingBlock PoolPlanner::Permission(Time now) const {
+ScalingBlock PoolPlanner::LeaseBlock(Time now) const {
   if (!lease_held_) return ScalingBlock::kNoLease;
   if (refused_epoch_) return ScalingBlock::kStaleEpoch;
   if (now < settled_at_) return ScalingBlock::kSettling;
@@ -329,13 +331,13 @@
 std::vector<ScalingOrder> PoolPlanner::Step(const PoolObservation& observation,
                                             Time now) {
   Track(observation, now);
-  block_ = Permission(now);
+  block_ = LeaseBlock(now);
   if (block_ != ScalingBlock::kNone) return {};
   if (!change_) {
     Begin(observation, now);
     return {};
   }
-  return Advance(observation, now);
+  return AdvanceChange(observation, now);
 }
 
 void PoolPlanner::Begin(const PoolObservation& observation, Time now) {
@@ -351,11 +353,11 @@
     block_ = block;
     return false;
   };
-  if (!short_role_) return false;
-  if (now - short_since_ < options_.imbalance_hold) {
+  if (!needed_role_) return false;
+  if (now - needed_since_ < options_.imbalance_hold) {
     return blocked(ScalingBlock::kHolding);
   }
-  if (now < pool_ready_) return blocked(ScalingBlock::kCooldown);
+  if (now < pool_cooldown_until_) return blocked(ScalingBlock::kCooldown);
   if (AnyUnhealthy(observation)) {
     return blocked(ScalingBlock::kUnhealthyEndpoint);
   }
@@ -372,8 +374,8 @@
        .from = move->endpoint->info.role,
        .to = move->to,
        .reason = fmt::format(
-           "{} is short: load {:.2f} prefill, {:.2f} decode; predicted {:.2f}, "
-           "{:.2f}",
+           "{} needs an endpoint: load {:.2f} prefill, {:.2f} decode; "
+           "predicted {:.2f}, {:.2f}",
            RoleName(move->to), move->before.prefill, move->before.decode,
            move->after.prefill, move->after.decode)},
       now);
@@ -382,13 +384,13 @@
 
 bool PoolPlanner::BeginLoad(const PoolObservation& observation, Time now) {
   block_ = ScalingBlock::kNone;
-  if (now < load_ready_) return false;
+  if (now < load_cooldown_until_) return false;
   for (const WantedArtifact& item : wanted_) {
     for (const EndpointStatus& endpoint : observation.endpoints) {
       if (endpoint.info.role == EndpointRole::kPlain) continue;
       if (!Healthy(endpoint) || endpoint.leaving) continue;
       if (endpoint.loaded.contains(item.id)) continue;
-      if (!Ready(failed_until_, endpoint.info.id, now)) continue;
+      if (!Elapsed(excluded_until_, endpoint.info.id, now)) continue;
       const OrderKind kind = KindFor(item.id.kind);
       const bool drains =
           kind != OrderKind::kLoadAdapter || options_.drain_for_adapters;
@@ -413,7 +415,7 @@
            .from = endpoint.info.role,
            .to = endpoint.info.role,
            .artifact = item.id,
-           .reason = fmt::format("{} is wanted and not loaded", item.id.name),
+           .reason = fmt::format("{} is wanted but not loaded", item.id.name),
            .drains = drains},
           now);
       return true;
@@ -423,14 +425,15 @@
 }
 
 void PoolPlanner::BeginChange(Change change, Time now) {
-  CheckInvariant(!change_, "one endpoint of a pool changes at a time");
-  CheckInvariant(Permission(now) == ScalingBlock::kNone,
-                 "a change begins under a settled lease only");
+  CheckInvariant(!change_, "at most one endpoint of a pool changes at a time");
+  CheckInvariant(LeaseBlock(now) == ScalingBlock::kNone,
+                 "a change starts only under a lease that has settled");
   block_ = ScalingBlock::kNone;
   change.backoff = options_.retry_first;
   change.next_send = now;
   change_ = std::move(change);
-  Enter(change_->drains ? ChangePhase::kDraining : ChangePhase::kOrdering, now);
+  EnterPhase(change_->drains ? ChangePhase::kDraining : ChangePhase::kOrdering,
+             now);
 }
 
 bool PoolPlanner::Applied(const EndpointStatus& endpoint) const {
@@ -440,19 +443,20 @@
 
 bool PoolPlanner::MustAbandon(const PoolObservation& observation,
                               const EndpointStatus* endpoint) const {
-  // A restarted runner has its first role and weights again.
+  // A restarted runner is back to its initial role and weights.
   if (!endpoint || endpoint->info.incarnation != change_->incarnation) {
     return true;
   }
   if (change_->phase == ChangePhase::kConfirming) return false;
   if (endpoint->leaving) return true;
   if (change_->drains && !AboveMinimum(observation, *endpoint)) return true;
-  // Not drained in vain while another endpoint may be about to fail.
+  // While another endpoint may be about to fail, the role change would be
+  // blocked and the drain in vain.
   return change_->phase == ChangePhase::kDraining && !change_->is_load() &&
          AnyUnhealthy(observation);
 }
 
-std::vector<ScalingOrder> PoolPlanner::Advance(
+std::vector<ScalingOrder> PoolPlanner::AdvanceChange(
     const PoolObservation& observation, Time now) {
   const EndpointStatus* endpoint = Find(observation, change_->endpoint);
   if (endpoint && endpoint->info.incarnation == change_->incarnation &&
@@ -470,8 +474,8 @@
   }
   if (change_->phase == ChangePhase::kConfirming &&
       now - change_->phase_since >= options_.confirm_timeout) {
-    // The next step checks the conditions of an order before it is repeated.
-    Enter(ChangePhase::kOrdering, now);
+    // The next step checks the conditions of an order before it retransmits it.
+    EnterPhase(ChangePhase::kOrdering, now);
     return {};
   }
   if (change_->phase != ChangePhase::kOrdering) return {};
@@ -480,7 +484,7 @@
   if (unhealthy) {
     block_ = ScalingBlock::kUnhealthyEndpoint;
     if (!change_->unhealthy_since) change_->unhealthy_since = now;
-    // A long quarantine elsewhere must not keep this endpoint without work.
+    // A long quarantine of another endpoint must not keep this one drained.
     if (now - *change_->unhealthy_since >= options_.drain_timeout) {
       Abandon(false, now);
     }
@@ -489,7 +493,7 @@
   change_->unhealthy_since.reset();
   if (now < change_->next_send) return {};
   CheckInvariant(!change_->drains || AboveMinimum(observation, *endpoint),
-                 "no order takes a role below its minimum");
+                 "an order leaves each role its minimum of endpoints");
   return {Send(*endpoint, now)};
 }
 
@@ -498,7 +502,7 @@
   const bool idle =
       endpoint.slots_in_use == 0 && endpoint.queued_prompt_tokens == Tokens(0);
   if (idle && drained_for >= options_.drain_settle) {
-    Enter(ChangePhase::kOrdering, now);
+    EnterPhase(ChangePhase::kOrdering, now);
     return;
   }
   if (drained_for < options_.drain_timeout) return;
@@ -508,7 +512,7 @@
 
 OrderId PoolPlanner::NextOrderId() {
   const OrderId id{.epoch = epoch_, .sequence = ++sequence_};
-  CheckInvariant(id > last_order_, "order ids grow");
+  CheckInvariant(id > last_order_, "order ids increase");
   last_order_ = id;
   return id;
 }
@@ -517,10 +521,10 @@
   if (change_->attempts == 0) change_->id = NextOrderId();
   const Epoch epoch = change_->id.epoch;
   CheckInvariant(lease_held_ && epoch == epoch_,
-                 "orders carry the epoch of the lease held");
+                 "an order carries the epoch of the current lease");
   CheckInvariant(epoch >= highest_epoch_used_,
                  "epochs of orders never decrease");
-  CheckInvariant(!refused_epoch_, "no order under a refused epoch");
+  CheckInvariant(!refused_epoch_, "no order is sent under a refused epoch");
   highest_epoch_used_ = epoch;
   ++change_->attempts;
   ++counters_.orders_sent;
@@ -537,7 +541,7 @@
           .reason = change_->reason};
 }
 
-void PoolPlanner::Enter(ChangePhase phase, Time now) {
+void PoolPlanner::EnterPhase(ChangePhase phase, Time now) {
   change_->phase = phase;
   change_->phase_since = now;
 }
@@ -546,29 +550,32 @@
   if (change_->is_load()) {
     ++counters_.loads_done;
     scheduler_->Finish(change_->endpoint);
-    load_ready_ = now + options_.load_cooldown;
+    load_cooldown_until_ = now + options_.load_cooldown;
   } else {
     ++counters_.role_changes_done;
-    pool_ready_ = now + options_.pool_cooldown;
-    role_ready_[change_->endpoint] = now + options_.endpoint_cooldown;
+    pool_cooldown_until_ = now + options_.pool_cooldown;
+    endpoint_cooldown_until_[change_->endpoint] =
+        now + options_.endpoint_cooldown;
   }
-  // The capacity of both roles changed, so the imbalance is judged anew.
-  short_role_.reset();
+  // The capacity of both roles changed, so the imbalance is evaluated
+  // again from the start of the hold.
+  needed_role_.reset();
   change_.reset();
 }
 
-void PoolPlanner::Abandon(bool blame, Time now) {
+void PoolPlanner::Abandon(bool exclude_endpoint, Time now) {
   ++counters_.abandoned;
-  if (blame)
-    failed_until_[change_->endpoint] = now + options_.endpoint_cooldown;
+  if (exclude_endpoint)
+    excluded_until_[change_->endpoint] = now + options_.endpoint_cooldown;
   if (change_->is_load()) {
-    load_ready_ = now + options_.load_cooldown;
+    load_cooldown_until_ = now + options_.load_cooldown;
   } else {
-    // The order may have been carried out, so the endpoint counts as changed.
-    pool_ready_ = now + options_.pool_cooldown;
+    // The order may have been executed, so the endpoint counts as changed.
+    pool_cooldown_until_ = now + options_.pool_cooldown;
     if (change_->attempts > 0 || change_->failures > 0) {
-      role_ready_[change_->endpoint] = now + options_.endpoint_cooldown;
-      load_ready_ = pool_ready_;
+      endpoint_cooldown_until_[change_->endpoint] =
+          now + options_.endpoint_cooldown;
+      load_cooldown_until_ = pool_cooldown_until_;
     }
   }
   DropChange(now);
@@ -595,8 +602,8 @@
                  .decode_load = loads_.decode,
                  .prefill_endpoints = prefill_endpoints_,
                  .decode_endpoints = decode_endpoints_,
-                 .missing_artifacts = missing_};
-  if (short_role_) row.imbalance_age = now - short_since_;
+                 .missing_artifacts = missing_artifacts_};
+  if (needed_role_) row.imbalance_age = now - needed_since_;
   if (!change_) return row;
   row.changing = change_->endpoint;
   row.phase = change_->phase;
--- a/servers/scaling/scaling_types.h
+++ b/servers/scaling/scaling_types.h
@@ -1,4 +1,4 @@
-// The values that go into and come out of PoolPlanner.
+// Inputs and outputs of PoolPlanner.
 #ifndef SERVERS_SCALING_SCALING_TYPES_H_
 #define SERVERS_SCALING_SCALING_TYPES_H_
 
@@ -16,8 +16,8 @@
 
 namespace cassiausher {
 
-/// What a runner loads from the weight store. Lower kinds load first: adapters
-/// need their model.
+/// Kind of artifact that a runner loads from the weight store. Lower values
+/// load first, since adapters need their model.
 enum class ArtifactKind { kModel, kVersion, kAdapter };
 
 struct ArtifactId {
@@ -27,7 +27,7 @@
   auto operator<=>(const ArtifactId&) const = default;
 };
 
-/// An artifact that every runner of the pool shall hold.
+/// An artifact that every runner of the pool must have loaded.
 struct WantedArtifact {
   ArtifactId id;
   Bytes size{0};
@@ -40,28 +40,29 @@
   EndpointInfo info;
   EndpointState state = EndpointState::kAlive;
   bool quarantined = false;
-  /// Announced its departure or is drained by an operator. Unlike
-  /// `EndpointInfo::departing`, which the planner doesn't read, this leaves
-  /// the planner's own drain out.
+  /// The endpoint announced its departure or is drained by an operator. Unlike
+  /// `EndpointInfo::departing`, which the planner doesn't read, this excludes
+  /// the planner's own drain.
   bool leaving = false;
-  /// False while it holds no model, so that it can't take requests.
+  /// False while it has no model loaded and therefore can't take requests.
   bool serving = true;
-  /// Requests that hold or reserve a slot or are in prefill.
+  /// Requests that occupy or reserve a slot or are in prefill.
   int slots_in_use = 0;
   Tokens queued_prompt_tokens{0};
   std::set<ArtifactId> loaded;
 };
 
-/// Demand of one class over the last window.
+/// Demand of one request class over the last measurement window.
 struct ClassDemand {
   ClassId id;
-  /// All prompts that arrived, the refused ones included.
+  /// All prompts that arrived, including refused ones.
   double prompt_tokens_per_second = 0;
   double refused_prompt_tokens_per_second = 0;
   double output_tokens_per_second = 0;
   Tokens queued_prompt_tokens{0};
 };
 
+/// State and demand of the pool at one time.
 struct PoolObservation {
   std::vector<EndpointStatus> endpoints;
   std::vector<ClassDemand> demand;
@@ -69,8 +70,9 @@
 
 enum class OrderKind { kSetRole, kLoadModel, kLoadVersion, kLoadAdapter };
 
-/// Grows with each order of a pool, over all its owners. Repetitions carry the
-/// same id; an endpoint ignores an id lower than one it has carried out.
+/// Increases with each order of a pool, across all its owners. Retransmissions
+/// carry the same id; an endpoint ignores an id lower than one that it has
+/// executed.
 struct OrderId {
   Epoch epoch{0};
   std::uint64_t sequence = 0;
@@ -78,16 +80,15 @@
   auto operator<=>(const OrderId&) const = default;
 };
 
-/// To be sent to `POST /orders` of the endpoint. `id.epoch` is the fencing
-/// number.
+/// Sent to the endpoint's `POST /orders`. `id.epoch` is the fencing number.
 struct ScalingOrder {
   OrderId id;
   OrderKind kind = OrderKind::kSetRole;
   EndpointId endpoint;
   std::string url;
-  /// With kSetRole.
+  /// Only for kSetRole.
   EndpointRole role = EndpointRole::kDecode;
-  /// With the other kinds.
+  /// Only for the other kinds.
   ArtifactId artifact;
   /// 1 for the first transmission of this id.
   int attempt = 1;
@@ -96,7 +97,8 @@
 
 enum class OrderOutcome { kDone, kFailed, kStaleEpoch };
 
-/// What an endpoint answered. A lost answer is no result; the planner repeats.
+/// An endpoint's response to an order. Without a response there is no result,
+/// and the planner retransmits the order.
 struct OrderResult {
   OrderId id;
   EndpointId endpoint;
@@ -104,29 +106,29 @@
 };
 
 enum class ChangePhase {
-  kDraining,    ///< Gets no new work; its requests end.
-  kOrdering,    ///< The order is repeated until it is answered.
-  kConfirming,  ///< Answered; its announcement shall show the change.
+  kDraining,    ///< Gets no new work; its requests run to their end.
+  kOrdering,    ///< The order is retransmitted until it is answered.
+  kConfirming,  ///< Answered; waits until its announcement shows the change.
 };
 
-/// Why no change begins or goes on.
+/// Why no change starts or continues.
 enum class ScalingBlock {
   kNone,
   kNoLease,
   kStaleEpoch,         ///< An endpoint has seen a higher epoch.
-  kSettling,           ///< The epoch is new.
-  kUnhealthyEndpoint,  ///< One is suspect or quarantined.
-  kHolding,            ///< The imbalance hasn't held for long enough.
-  kCooldown,           ///< Of the pool, or of each endpoint that could change.
+  kSettling,           ///< The epoch is too new, see `settle_time`.
+  kUnhealthyEndpoint,  ///< An endpoint is suspect or quarantined.
+  kHolding,            ///< The imbalance hasn't lasted for long enough.
+  kCooldown,           ///< Of the pool or of every candidate.
   kMinimum,            ///< A role would have too few endpoints.
-  kWeightStore,        ///< The load waits for its turn.
+  kWeightStore,        ///< The load waits for the LoadScheduler.
 };
 
 const char* Name(OrderKind kind);
 const char* Name(ChangePhase phase);
 const char* Name(ScalingBlock block);
 
-/// One line of the state dump.
+/// One pool's row in the state dump.
 struct ScalingRow {
   DataCentreId data_centre;
   ServiceId service;
@@ -138,9 +140,9 @@
   double decode_load = 0;
   int prefill_endpoints = 0;
   int decode_endpoints = 0;
-  /// How long the present imbalance has held; 0 without one.
+  /// How long the current imbalance has lasted; 0 without one.
   Duration imbalance_age{0};
-  /// Artifacts that are wanted and not loaded, summed over the runners.
+  /// Wanted artifacts that aren't loaded, summed over the runners.
   int missing_artifacts = 0;
   /// Empty without a change in progress; the fields below are then unset.
   EndpointId changing;
@@ -160,12 +162,12 @@
   std::uint64_t orders_repeated = 0;
   std::uint64_t orders_failed = 0;
   std::uint64_t stale_refusals = 0;
-  /// Results of orders that are no longer open.
+  /// Results of orders that are no longer outstanding.
   std::uint64_t late_results = 0;
   std::uint64_t drain_timeouts = 0;
-  /// Changes given up before they were confirmed, for any reason.
+  /// Changes abandoned before confirmation, for any reason.
   std::uint64_t abandoned = 0;
-  /// Leases with an epoch lower than one already used; they are ignored.
+  /// Leases that were ignored because an order already used a higher epoch.
   std::uint64_t old_epochs_ignored = 0;
 };
 
