--- a/tests/scaling/load_scheduler_test.cc
+++ b/tests/scaling/load_scheduler_test.cc
@@ -1,4 +1,5 @@
-// Rate, count and priority of loads from the weight store.
+// Tests the rate limit, the concurrency limit and the precedence of loads from
+// the weight store.
 #include "servers/scaling/load_scheduler.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,15 +25,15 @@
 };
 
 // Guards against loads that together exceed the weight store's rate.
-TEST(LoadScheduler, LargeLoadLeavesADebtThatTimePaysOff) {
+TEST(LoadScheduler, LargeLoadDelaysTheNextUntilTheBucketRefills) {
   CHECK(scheduler.TryStart(Load("r1", 3000), At(0)));
   CHECK(!scheduler.TryStart(Load("r2", 1000), At(0)));
   CHECK(!scheduler.TryStart(Load("r2", 1000), At(29)));
   CHECK(scheduler.TryStart(Load("r2", 1000), At(30)));
 }
 
-// Guards against more loads at once than the store allows, and two on a runner.
-TEST(LoadScheduler, CountIsLimitedAndOneLoadPerRunner) {
+// Guards against more concurrent loads than allowed, and two on one runner.
+TEST(LoadScheduler, ConcurrentLoadsAreLimitedInTotalAndPerRunner) {
   CHECK(scheduler.TryStart(Load("r1", 1), At(0)));
   CHECK(!scheduler.TryStart(Load("r1", 1), At(0)));
   CHECK(scheduler.TryStart(Load("r2", 1), At(0)));
@@ -41,9 +42,9 @@
   CHECK(scheduler.TryStart(Load("r3", 1), At(1)));
 }
 
-// Guards against a service that refuses callers while weights for an idle
-// service are loaded, and against a load that never starts because of it.
-TEST(LoadScheduler, RefusedDemandGoesFirstUntilALoadIsStarved) {
+// Guards against loads for an idle service that delay those of a service with
+// refused requests, and against the starvation of the former.
+TEST(LoadScheduler, RefusedDemandTakesPrecedenceUntilAnotherLoadStarves) {
   CHECK(scheduler.TryStart(Load("r0", 1000), At(0)));
   CHECK(!scheduler.TryStart(Load("idle", 1000), At(0)));
   CHECK(!scheduler.TryStart(Load("refused", 1000, 50), At(1)));
@@ -61,9 +62,9 @@
   CHECK(scheduler.TryStart(Load("idle", 1000), At(1800)));
 }
 
-// Guards against a waiting load of a lost planner that blocks all others, and
-// against bytes lost to loads that never began.
-TEST(LoadScheduler, ForgottenAndCancelledLoadsFreeTheirShare) {
+// Guards against a waiting load that blocks all others after its planner is
+// gone, and against bytes that stay charged for loads that never started.
+TEST(LoadScheduler, ExpiredAndCancelledLoadsFreeTheirShare) {
   CHECK(scheduler.TryStart(Load("r1", 1000), At(0)));
   CHECK(!scheduler.TryStart(Load("gone", 1, 50), At(0)));
   scheduler.Cancel(EndpointId("r1"));
@@ -71,8 +72,9 @@
   CHECK(scheduler.TryStart(Load("r2", 1000), At(11)));
 }
 
-// Guards against a load whose end is never told that holds its place for ever.
-TEST(LoadScheduler, AbandonedLoadCountsForItsExpectedTime) {
+// Guards against a load whose end is never reported and that counts as running
+// for ever.
+TEST(LoadScheduler, AbandonedLoadCountsForItsExpectedDuration) {
   CHECK(scheduler.TryStart(Load("r1", 1000), At(0)));
   scheduler.Abandon(EndpointId("r1"), At(0));
   CHECK(!scheduler.TryStart(Load("r1", 100), At(19)));
--- a/tests/scaling/pool_planner_test.cc
+++ b/tests/scaling/pool_planner_test.cc
@@ -1,4 +1,4 @@
-// One rule of the planner each.
+// Tests each rule of the planner on its own.
 #include "servers/scaling/pool_planner.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,7 @@
     // Load 1.5 of prefill and 0.52 of decode; 1.0 and 0.69 after one move.
     SetDemand(pool, 30'000, 1000);
   }
-  /// Steps each second until `end`, without answers to orders.
+  /// Calls Step() every second until `end`, without responses to orders.
   void RunTo(double end) {
     for (; second <= end; ++second) {
       for (auto& order : planner.Step(pool, At(second)))
@@ -43,9 +43,9 @@
   ScalingBlock Block() { return planner.Row(At(second)).block; }
 };
 
-// Guards against requests cut off by a role change, and against an endpoint
-// that stays drained after it.
-TEST(PoolPlanner, DrainsOrdersAndConfirms) {
+// Guards against requests that a role change interrupts, and against an
+// endpoint that stays drained after it.
+TEST(PoolPlanner, RoleChangeDrainsOrdersAndConfirms) {
   pool.endpoints[3].slots_in_use = 1;
   for (int i : {2, 4, 5}) pool.endpoints[i].slots_in_use = 3;
   RunTo(140);
@@ -66,8 +66,8 @@
   LONGS_EQUAL(1, planner.counters().role_changes_done);
 }
 
-// Guards against changes for an imbalance that a burst causes.
-TEST(PoolPlanner, ImbalanceMustHold) {
+// Guards against role changes caused by a burst.
+TEST(PoolPlanner, ImbalanceMustLastForTheHold) {
   RunTo(100);
   SetDemand(pool, 1000, 1000);
   RunTo(101);
@@ -78,7 +78,7 @@
   CHECK(planner.Drained().has_value());
 }
 
-// Guards against a hold that counts time in which nothing was observed.
+// Guards against a hold that includes time without observations.
 TEST(PoolPlanner, GapInObservationsRestartsTheHold) {
   RunTo(100);
   second = 125;
@@ -86,9 +86,9 @@
   CHECK(Block() == ScalingBlock::kHolding);
 }
 
-// Guards against a drain that gains nothing: idle pools, and moves that make
-// the other role the bottleneck.
-TEST(PoolPlanner, BenefitMustExceedTheMargin) {
+// Guards against a drain without benefit: in a pool with spare capacity, or for
+// a role change that makes the other role the bottleneck.
+TEST(PoolPlanner, RoleChangeNeedsLoadAndBenefit) {
   SetDemand(pool, 13'000, 300);
   RunTo(300);
   SetDemand(pool, 30'000, 2000);
@@ -96,7 +96,7 @@
   LONGS_EQUAL(0, planner.counters().role_changes_started);
 }
 
-// Guards against refused and queued demand that looks like a lack of demand.
+// Guards against refused and queued requests that are missing from the demand.
 TEST(PoolPlanner, RefusalsAndQueuesCountAsDemand) {
   SetDemand(pool, 10'000, 1000);
   pool.demand[0].refused_prompt_tokens_per_second = 5000;
@@ -107,10 +107,11 @@
   DOUBLES_EQUAL(1000 * 2 * 2 / (4 * 20 * 24.0), row.decode_load, 1e-9);
 }
 
-// Guards against a pool whose last endpoint of a role is taken away.
-TEST(PoolPlanner, MinimumOfEachRoleStays) {
+// Guards against a pool that loses the last endpoint of a role.
+TEST(PoolPlanner, EachRoleKeepsItsMinimum) {
   pool = Pool(2, 1);
-  // Without output the prediction alone would take the last decode runner.
+  // Without output, the predicted benefit alone would justify moving the last
+  // decode runner.
   SetDemand(pool, 90'000, 0);
   pool.endpoints.push_back(Runner("r9", EndpointRole::kDecode));
   pool.endpoints.back().leaving = true;
@@ -119,7 +120,7 @@
   LONGS_EQUAL(0, planner.counters().role_changes_started);
 }
 
-// Guards against a drain that goes on when the other endpoint of the role dies.
+// Guards against a drain that continues when the role's other endpoint dies.
 TEST(PoolPlanner, DeathDuringDrainAbandonsTheChange) {
   pool = Pool(1, 2);
   SetDemand(pool, 30'000, 10);
@@ -133,7 +134,7 @@
   LONGS_EQUAL(0, planner.counters().orders_sent);
 }
 
-// Guards against role changes on the base of a capacity that is in doubt.
+// Guards against role changes while the pool's capacity is uncertain.
 TEST(PoolPlanner, SuspectOrQuarantinedEndpointBlocksRoleChanges) {
   pool.endpoints[0].state = EndpointState::kSuspect;
   RunTo(200);
@@ -144,9 +145,9 @@
   LONGS_EQUAL(0, planner.counters().role_changes_started);
 }
 
-// Guards against a runner that stays out of work because a request of it
+// Guards against a runner that stays drained because one of its requests
 // doesn't end.
-TEST(PoolPlanner, DrainTimesOut) {
+TEST(PoolPlanner, DrainTimeoutAbandonsTheChange) {
   for (EndpointStatus& endpoint : pool.endpoints) endpoint.slots_in_use = 1;
   RunTo(299);
   CHECK(planner.Drained() == EndpointId("r3"));
@@ -156,8 +157,8 @@
   CHECK(planner.Drained() == EndpointId("r4"));
 }
 
-// Guards against an order that meets work sent by instances which don't know of
-// the drain yet.
+// Guards against an order that arrives while instances that don't know of the
+// drain yet still send work.
 TEST(PoolPlanner, IdleRunnerIsDrainedForTwoSecondsBeforeTheOrder) {
   RunTo(121);
   CHECK(planner.Drained() == EndpointId("r3"));
@@ -166,9 +167,9 @@
   LONGS_EQUAL(1, orders.size());
 }
 
-// Guards against repetitions while the pool's state is in doubt, and against a
-// runner that stays drained through a long quarantine of another.
-TEST(PoolPlanner, UnhealthyEndpointHoldsAnOrderBackThenEndsTheChange) {
+// Guards against retransmissions while the pool's state is uncertain, and
+// against a runner that stays drained during another's long quarantine.
+TEST(PoolPlanner, UnhealthyEndpointDelaysTheOrderThenEndsTheChange) {
   RunTo(122);
   pool.endpoints[0].quarantined = true;
   RunTo(302);
@@ -178,17 +179,17 @@
   CHECK(!planner.Drained());
 }
 
-// Guards against lost orders, and against repetitions that flood an endpoint
-// or count as new orders.
-TEST(PoolPlanner, OrdersRepeatWithBackoffUnderOneId) {
+// Guards against lost orders, and against retransmissions that flood an
+// endpoint or count as new orders.
+TEST(PoolPlanner, OrderIsRetransmittedWithBackoffUnderOneId) {
   RunTo(122 + 2 + 4 + 8 + 16 + 32 + 60 + 60);
   LONGS_EQUAL(8, orders.size());
   for (const ScalingOrder& order : orders) CHECK(order.id == orders[0].id);
   LONGS_EQUAL(7, planner.counters().orders_repeated);
 }
 
-// Guards against an answered order whose effect never shows.
-TEST(PoolPlanner, UnconfirmedOrderIsRepeated) {
+// Guards against an answered order that never takes effect.
+TEST(PoolPlanner, UnconfirmedOrderIsRetransmitted) {
   RunTo(122);
   Answer(OrderOutcome::kDone);
   RunTo(136);
@@ -197,7 +198,7 @@
   LONGS_EQUAL(2, orders.size());
 }
 
-// Guards against endless tries of an order that the endpoint can't carry out.
+// Guards against endless retries of an order that the endpoint can't execute.
 TEST(PoolPlanner, RepeatedFailuresEndTheChange) {
   for (int i = 0; i < 5; ++i) {
     const std::size_t sent = orders.size();
@@ -209,9 +210,9 @@
   LONGS_EQUAL(1, planner.counters().abandoned);
 }
 
-// Guards against two owners that order one after the other: who is told that
-// its epoch is old stops until it has a new one.
-TEST(PoolPlanner, StaleRefusalStopsUntilANewEpoch) {
+// Guards against orders of two owners at once: an owner whose epoch is refused
+// as stale stops until it has a higher one.
+TEST(PoolPlanner, StaleRefusalStopsOrdersUntilAHigherEpoch) {
   RunTo(122);
   Answer(OrderOutcome::kStaleEpoch);
   CHECK(!planner.Drained());
@@ -225,9 +226,9 @@
   CHECK(orders.back().id.epoch == Epoch(6));
 }
 
-// Guards against orders of an instance that isn't the owner, or under an epoch
-// older than one it has used.
-TEST(PoolPlanner, NothingWithoutTheLeaseOrUnderAnOldEpoch) {
+// Guards against orders by an instance that isn't the owner, or under a lower
+// epoch than it has used.
+TEST(PoolPlanner, NoOrdersWithoutTheLeaseOrUnderALowerEpoch) {
   RunTo(122);
   planner.SetLease(false, Epoch(5), At(second));
   CHECK(!planner.Drained());
@@ -240,8 +241,8 @@
 }
 
 // Guards against a load that interrupts requests, loads in the wrong order, and
-// two runners that are away at once.
-TEST(PoolPlanner, LoadsOneRunnerAfterTheOtherModelFirst) {
+// two runners that are drained at once.
+TEST(PoolPlanner, RunnersLoadOneAtATimeVersionsBeforeAdapters) {
   SetDemand(pool, 1000, 100);
   planner.SetWanted({{.id = {ArtifactKind::kAdapter, "a"}, .size = Bytes(1)},
                      {.id = {ArtifactKind::kVersion, "v"}, .size = Bytes(9)}});
@@ -261,8 +262,9 @@
   LONGS_EQUAL(0, planner.Row(At(second)).missing_artifacts);
 }
 
-// Guards against a pool without a model that waits for its own minimum.
-TEST(PoolPlanner, LoadThatDrainsRespectsTheMinimumUnlessNothingServes) {
+// Guards against a pool in which no model is loaded and the minimum of usable
+// endpoints prevents loading one.
+TEST(PoolPlanner, DrainingLoadKeepsTheMinimumUnlessTheRunnerServesNothing) {
   pool = Pool(1, 1);
   planner.SetWanted({{.id = {ArtifactKind::kModel, "m"}, .size = Bytes(1)}});
   RunTo(200);
@@ -273,8 +275,8 @@
   CHECK(orders[0].endpoint == EndpointId("r1"));
 }
 
-// Guards against a change that waits for a runner which restarted without it.
-TEST(PoolPlanner, RestartOfTheRunnerEndsTheChange) {
+// Guards against a change that waits for a runner that restarted and lost it.
+TEST(PoolPlanner, RunnerRestartEndsTheChange) {
   RunTo(122);
   Changing().info.incarnation = Incarnation(2);
   RunTo(123);
--- a/tests/scaling/randomised_test.cc
+++ b/tests/scaling/randomised_test.cc
@@ -1,4 +1,4 @@
-// Planners against a small model of runners, demand and a bad network.
+// Runs planners in a simulation of runners, demand and an unreliable network.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -26,16 +26,18 @@
   bool refused = false;
 };
 
-struct Flight {
+/// An order, or its result, on its way through the network.
+struct Message {
   double arrives = 0;
   std::size_t owner = 0;
   ScalingOrder order;
   std::optional<OrderOutcome> outcome;
 };
 
-class World {
+class Simulation {
  public:
-  World(std::uint64_t seed, int prefill, int decode, PoolPlannerOptions options)
+  Simulation(std::uint64_t seed, int prefill, int decode,
+             PoolPlannerOptions options)
       : random_(seed),
         options_(std::move(options)),
         pool_(Pool(prefill, decode)) {
@@ -44,7 +46,7 @@
 
   void NewOwner() {
     for (Owner& owner : owners_) {
-      // The last owner may not know yet that it is replaced.
+      // A previous owner may not know yet that it was replaced.
       owner.stops =
           std::min(owner.stops, now_ + static_cast<double>(random_.Below(30)));
     }
@@ -63,11 +65,11 @@
     for (std::size_t i = 0; i < owners_.size(); ++i) StepOwner(i);
   }
 
-  /// Loads of prefill and decode, in units of one runner's capacity.
-  void Demand(double prefill, double decode) {
+  /// Sets prefill and decode demand, in units of one runner's capacity.
+  void SetLoads(double prefill, double decode) {
     SetDemand(pool_, prefill * kPrefillRate, decode * kDecodeRate);
   }
-  int Prefills() const {
+  int PrefillRunners() const {
     return static_cast<int>(std::count_if(
         pool_.endpoints.begin(), pool_.endpoints.end(),
         [](const auto& e) { return e.info.role == EndpointRole::kPrefill; }));
@@ -78,17 +80,18 @@
 
   bool faults = false;
   std::vector<WantedArtifact> wanted;
-  /// Role changes that runners carried out, and when the last one was.
+  /// Role changes that runners executed, and when the last one was.
   int changes = 0;
   double last_change = 0;
+  /// Orders that runners refused because of a stale epoch.
   int stale = 0;
 
  private:
   void InjectFaults() {
     if (random_.Chance(0.002)) NewOwner();
     for (EndpointStatus& endpoint : pool_.endpoints) {
-      // Calls carry the epoch too, and an isolated owner learns of a higher one
-      // from a refusal only.
+      // Requests carry the epoch too. An isolated owner learns of a higher one
+      // only from a refusal.
       Epoch& seen = seen_[endpoint.info.id];
       if (random_.Chance(0.2)) seen = std::max(seen, owners_.back().epoch);
       if (random_.Chance(0.0002)) seen = Epoch(owners_.size() + 1);
@@ -96,44 +99,45 @@
         endpoint.info.incarnation += Incarnation(1);
         endpoint.loaded.clear();
       }
-      const bool sick = endpoint.state == EndpointState::kSuspect;
-      if (random_.Chance(sick ? 0.5 : 0.001)) {
-        endpoint.state = sick ? EndpointState::kAlive : EndpointState::kSuspect;
+      const bool suspect = endpoint.state == EndpointState::kSuspect;
+      if (random_.Chance(suspect ? 0.5 : 0.001)) {
+        endpoint.state =
+            suspect ? EndpointState::kAlive : EndpointState::kSuspect;
       }
     }
   }
 
-  void Transmit(const Flight& flight) {
+  void Transmit(const Message& message) {
     const int copies = !faults                ? 1
                        : random_.Chance(0.25) ? 0
                        : random_.Chance(0.25) ? 2
                                               : 1;
     for (int i = 0; i < copies; ++i) {
-      flights_.push_back(flight);
-      flights_.back().arrives =
+      messages_.push_back(message);
+      messages_.back().arrives =
           now_ + (faults ? static_cast<double>(random_.Below(60)) : 1);
     }
   }
 
   void Deliver() {
-    std::vector<Flight> due;
-    std::erase_if(flights_, [&](const Flight& flight) {
-      if (flight.arrives > now_) return false;
-      due.push_back(flight);
+    std::vector<Message> due;
+    std::erase_if(messages_, [&](const Message& message) {
+      if (message.arrives > now_) return false;
+      due.push_back(message);
       return true;
     });
-    for (Flight& flight : due) {
-      if (flight.outcome) {
-        Owner& owner = owners_[flight.owner];
-        owner.refused |= flight.outcome == OrderOutcome::kStaleEpoch;
-        owner.planner->OnResult({.id = flight.order.id,
-                                 .endpoint = flight.order.endpoint,
-                                 .outcome = *flight.outcome},
+    for (Message& message : due) {
+      if (message.outcome) {
+        Owner& owner = owners_[message.owner];
+        owner.refused |= message.outcome == OrderOutcome::kStaleEpoch;
+        owner.planner->OnResult({.id = message.order.id,
+                                 .endpoint = message.order.endpoint,
+                                 .outcome = *message.outcome},
                                 At(now_));
         continue;
       }
-      flight.outcome = Execute(flight.order);
-      Transmit(flight);
+      message.outcome = Execute(message.order);
+      Transmit(message);
     }
   }
 
@@ -157,7 +161,7 @@
       endpoint.info.role = order.role;
       ++changes;
       last_change = now_;
-      CHECK(Prefills() >= 1 && Prefills() < Size());
+      CHECK(PrefillRunners() >= 1 && PrefillRunners() < Size());
     }
     return OrderOutcome::kDone;
   }
@@ -202,34 +206,37 @@
   PoolObservation pool_;
   LoadScheduler scheduler_{{}};
   std::vector<Owner> owners_;
-  std::vector<Flight> flights_;
+  std::vector<Message> messages_;
   std::map<EndpointId, OrderId> executed_;
-  /// The fencing number, which calls of requests raise too.
+  /// Highest fencing number that each runner has seen in orders or requests.
   std::map<EndpointId, Epoch> seen_;
   std::map<OrderId, ScalingOrder> sent_;
   double now_ = 0;
 };
 
-World RandomWorld(std::uint64_t seed, Random& random,
-                  PoolPlannerOptions options = {}) {
-  return World(seed, 1 + static_cast<int>(random.Below(4)),
-               1 + static_cast<int>(random.Below(8)), std::move(options));
+Simulation RandomSimulation(std::uint64_t seed, Random& random,
+                            PoolPlannerOptions options = {}) {
+  return Simulation(seed, 1 + static_cast<int>(random.Below(4)),
+                    1 + static_cast<int>(random.Below(8)), std::move(options));
 }
 
-/// Role changes in one hour of demand that swings between the roles.
-int Oscillate(std::uint64_t seed, double half_period, bool faults,
-              const PoolPlannerOptions& options, int* size) {
+/// Returns the role changes in one hour of demand that oscillates between the
+/// roles.
+int RunOscillation(std::uint64_t seed, double half_period, bool faults,
+                   const PoolPlannerOptions& options, int* size) {
   Random random(seed);
-  World world = RandomWorld(seed, random, options);
-  world.faults = faults;
-  const double n = *size = world.Size();
-  const double swing = n * (0.5 + 3 * random.Unit());
-  while (world.now() < kHour) {
-    const bool up = static_cast<int>(world.now() / half_period) % 2 == 0;
-    world.Demand(up ? swing : 0.1, up ? 0.1 : swing);
-    world.Step();
+  Simulation simulation = RandomSimulation(seed, random, options);
+  simulation.faults = faults;
+  const double n = *size = simulation.Size();
+  const double amplitude = n * (0.5 + 3 * random.Unit());
+  while (simulation.now() < kHour) {
+    const bool prefill_peak =
+        static_cast<int>(simulation.now() / half_period) % 2 == 0;
+    simulation.SetLoads(prefill_peak ? amplitude : 0.1,
+                        prefill_peak ? 0.1 : amplitude);
+    simulation.Step();
   }
-  return world.changes;
+  return simulation.changes;
 }
 
 }  // namespace
@@ -243,24 +250,24 @@
   std::uint64_t current = 0;
 };
 
-// Guards against flapping: demand that turns round within the hold time, while
-// orders, owners and runners fail, must not change the pool. The same runs
-// without hysteresis show that the model would flap.
-TEST(ScalingRandomised, FastOscillationChangesNothing) {
+// Guards against flapping: demand that reverses within the hold time, while
+// orders, owners and runners fail, must not cause role changes. The same runs
+// without hysteresis show that the simulated pool would flap.
+TEST(ScalingRandomised, FastOscillationCausesNoRoleChange) {
   constexpr int kSeeds = 2000;
   constexpr int kBaselineSeeds = 200;
-  const PoolPlannerOptions none{.imbalance_hold = Duration(0),
-                                .pool_cooldown = Duration(0),
-                                .endpoint_cooldown = Duration(0),
-                                .benefit_margin = 0};
+  const PoolPlannerOptions no_hysteresis{.imbalance_hold = Duration(0),
+                                         .pool_cooldown = Duration(0),
+                                         .endpoint_cooldown = Duration(0),
+                                         .benefit_margin = 0};
   int baseline = 0;
   int size = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Seed(seed);
     const double half_period = 2 + static_cast<double>(seed % 56);
-    LONGS_EQUAL(0, Oscillate(seed, half_period, seed % 2 == 0, {}, &size));
+    LONGS_EQUAL(0, RunOscillation(seed, half_period, seed % 2 == 0, {}, &size));
     if (seed > kBaselineSeeds) continue;
-    baseline += Oscillate(seed, half_period, false, none, &size);
+    baseline += RunOscillation(seed, half_period, false, no_hysteresis, &size);
   }
   CHECK(baseline > kBaselineSeeds);
   std::printf(
@@ -269,8 +276,8 @@
       kSeeds, static_cast<double>(baseline) / kBaselineSeeds);
 }
 
-// Guards against slow oscillation that moves runners more often than the
-// cooldowns allow.
+// Guards against more role changes under slow oscillation than the cooldowns
+// allow.
 TEST(ScalingRandomised, SlowOscillationIsBoundedByCooldowns) {
   constexpr int kSeeds = 200;
   for (const int half_period : {120, 300, 900}) {
@@ -278,7 +285,7 @@
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       Seed(seed);
       int size = 0;
-      const int hour = Oscillate(seed, half_period, false, {}, &size);
+      const int hour = RunOscillation(seed, half_period, false, {}, &size);
       CHECK(hour <= std::min(30, 6 * size));
       changes += hour;
     }
@@ -287,9 +294,9 @@
   }
 }
 
-// Guards against a planner that doesn't follow demand, moves more runners than
-// the step needs, or goes on moving them afterwards.
-TEST(ScalingRandomised, StepInDemandIsFollowedThenQuiet) {
+// Guards against a planner that doesn't follow a step in demand, changes the
+// role of more runners than needed, or continues to do so afterwards.
+TEST(ScalingRandomised, StepInDemandIsFollowedAndThePoolSettles) {
   constexpr int kSeeds = 2000;
   int changes = 0;
   int adapted = 0;
@@ -297,26 +304,28 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Seed(seed);
     Random random(seed);
-    World world = RandomWorld(seed, random);
-    const int n = world.Size();
-    const int prefills = world.Prefills();
+    Simulation simulation = RandomSimulation(seed, random);
+    const int n = simulation.Size();
+    const int prefill_runners = simulation.PrefillRunners();
     const double share = random.Unit();
     const double load = 0.9 * n;
-    world.Demand(0.5 * prefills, 0.5 * (n - prefills));
-    while (world.now() < 600) world.Step();
-    LONGS_EQUAL(0, world.changes);
-    world.Demand(load * share, load * (1 - share));
-    while (world.now() < 600 + 2 * kHour) world.Step();
-    // Each move brings the split nearer to the demand, and no runner moves
-    // back: at most as many moves as the split has to shift.
+    simulation.SetLoads(0.5 * prefill_runners, 0.5 * (n - prefill_runners));
+    while (simulation.now() < 600) simulation.Step();
+    LONGS_EQUAL(0, simulation.changes);
+    simulation.SetLoads(load * share, load * (1 - share));
+    while (simulation.now() < 600 + 2 * kHour) simulation.Step();
+    // Each role change brings the split closer to the demand, and no runner
+    // changes back, so there are at most as many changes as the split has to
+    // shift.
     const int ideal = static_cast<int>(share * n + 0.5);
-    CHECK(world.changes <= std::abs(ideal - prefills) + 1);
-    LONGS_EQUAL(world.changes, std::abs(world.Prefills() - prefills));
-    CHECK(world.last_change < 600 + kHour);
-    changes += world.changes;
-    if (world.changes == 0) continue;
+    CHECK(simulation.changes <= std::abs(ideal - prefill_runners) + 1);
+    LONGS_EQUAL(simulation.changes,
+                std::abs(simulation.PrefillRunners() - prefill_runners));
+    CHECK(simulation.last_change < 600 + kHour);
+    changes += simulation.changes;
+    if (simulation.changes == 0) continue;
     ++adapted;
-    times.push_back(world.last_change - 600);
+    times.push_back(simulation.last_change - 600);
   }
   std::sort(times.begin(), times.end());
   CHECK(adapted > kSeeds / 4);
@@ -327,9 +336,9 @@
       times[times.size() / 2], times[times.size() * 95 / 100], times.back());
 }
 
-// Guards against a planner that loses its way when orders and answers are
-// lost, repeated, late, refused or failed, owners change and runners restart:
-// the invariants hold throughout, and after the faults the pool settles.
+// Guards against a planner that breaks an invariant, or doesn't settle
+// afterwards, when orders and results are lost, duplicated, late, refused or
+// failed, owners change and runners restart.
 TEST(ScalingRandomised, FaultsKeepInvariantsAndThePoolSettles) {
   constexpr int kSeeds = 2000;
   int changes = 0;
@@ -338,29 +347,30 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Seed(seed);
     Random random(seed);
-    World world = RandomWorld(seed, random);
-    const double n = world.Size();
-    world.wanted = {{.id = {ArtifactKind::kVersion, "v2"}, .size = Bytes(1000)},
-                    {.id = {ArtifactKind::kAdapter, "a"}, .size = Bytes(10)}};
-    world.NewOwner();
-    world.faults = true;
+    Simulation simulation = RandomSimulation(seed, random);
+    const double n = simulation.Size();
+    simulation.wanted = {
+        {.id = {ArtifactKind::kVersion, "v2"}, .size = Bytes(1000)},
+        {.id = {ArtifactKind::kAdapter, "a"}, .size = Bytes(10)}};
+    simulation.NewOwner();
+    simulation.faults = true;
     double share = 0.5;
-    while (world.now() < kHour) {
+    while (simulation.now() < kHour) {
       if (random.Chance(0.005)) share = random.Unit();
-      world.Demand(n * share, n * (1 - share));
-      world.Step();
+      simulation.SetLoads(n * share, n * (1 - share));
+      simulation.Step();
     }
-    changes += world.changes;
-    stale += world.stale;
-    // Faults cover the changes that are under way when they end.
-    world.faults = false;
-    world.NewOwner();
-    const int before = world.changes;
-    while (world.now() < 3 * kHour) world.Step();
-    CHECK(world.changes - before <= n + 1);
-    latest = std::max(latest, world.last_change - kHour);
-    CHECK(world.last_change < 2 * kHour);
-    CHECK(!world.planner().Drained());
+    changes += simulation.changes;
+    stale += simulation.stale;
+    // Changes in progress when the faults end are still affected by them.
+    simulation.faults = false;
+    simulation.NewOwner();
+    const int before = simulation.changes;
+    while (simulation.now() < 3 * kHour) simulation.Step();
+    CHECK(simulation.changes - before <= n + 1);
+    latest = std::max(latest, simulation.last_change - kHour);
+    CHECK(simulation.last_change < 2 * kHour);
+    CHECK(!simulation.planner().Drained());
   }
   std::printf(
       "faults: %.2f role changes per simulated hour, %d stale refusals; after "
--- a/tests/scaling/scaling_pool.h
+++ b/tests/scaling/scaling_pool.h
@@ -1,4 +1,4 @@
-// A pool as the planner sees it, for the tests of one rule each.
+// Builds pool observations for the planner's tests.
 #ifndef TESTS_SCALING_SCALING_POOL_H_
 #define TESTS_SCALING_SCALING_POOL_H_
 
