--- a/scripts/mutations/consensus.sh
+++ b/scripts/mutations/consensus.sh
@@ -127,7 +127,7 @@
   'role_ != RaftRole::kLeader'
 # A leader that hears no quorum stays leader.
 mutate no_quorum_check $election \
-  'return heard >= configuration().Quorum();' 'return true;'
+  'return active >= configuration().Quorum();' 'return true;'
 # Pre-votes are granted although the leader is heard.
 mutate no_leader_lease $election \
   'return now_ - *last_leader_contact_ < options_.election_timeout_min;' \
@@ -160,7 +160,7 @@
       CheckInvariant'
 # A voter that answers is replaced by another process under its name.
 mutate answering_voter_replaced $raft \
-  'if (!silent || !configuration().IsVoter(id)) continue;' \
+  'if (!unresponsive || !configuration().IsVoter(id)) continue;' \
   'if (!configuration().IsVoter(id)) continue;'
 # The lost voter leaves before its replacement holds its promotion.
 mutate remove_before_copy $raft \
@@ -172,7 +172,7 @@
   '!next.learners.contains(learner)'
 # Answers wait without a bound while the disk does not write.
 mutate answers_pile_up $raft \
-  'if (storage_failed_ || batches_.size() >= kMaxWaitingBatches) {' 'if (false) {'
+  'if (storage_failed_ || batches_.size() >= kMaxPendingBatches) {' 'if (false) {'
 # Entries are written but not synced.
 mutate skip_sync $file_log \
   'BOOST_LEAF_CHECK(files_->Write(name, size_, bytes));
--- a/servers/consensus/log_storage.cc
+++ b/servers/consensus/log_storage.cc
@@ -1,4 +1,4 @@
-// The registry of log storages.
+// Registry of the log storage implementations.
 #include "servers/consensus/log_storage.h"
 
 #include <fmt/format.h>
--- a/servers/consensus/raft.cc
+++ b/servers/consensus/raft.cc
@@ -1,5 +1,5 @@
-// Raft: construction, checks of incoming messages, founding, proposals, changes
-// of members and the hand-over of work to the caller.
+// Raft: construction, validation of incoming messages, bootstrap, proposals,
+// membership changes and output.
 #include "servers/consensus/raft.h"
 
 #include <algorithm>
@@ -13,14 +13,15 @@
 
 namespace {
 
-/// Terms above this are refused: one more election could wrap around.
+/// Messages with a higher term are rejected, so that terms cannot overflow.
 constexpr Term kMaxTerm = std::numeric_limits<Term>::max() / 2;
 
-/// Batches handed out and not reported durable; more are made only for data.
-constexpr std::size_t kMaxWaitingBatches = 64;
+/// Maximum batches awaiting OnPersisted(); above it, only data that must be
+/// persisted opens another batch.
+constexpr std::size_t kMaxPendingBatches = 64;
 
-/// Replicas and instances remembered from hellos; more are ignored until the
-/// next restart.
+/// Maximum replicas in `unconfigured_replicas_` and instances in
+/// `hello_targets_`; further ones are ignored until the next restart.
 constexpr std::size_t kMaxUnconfigured = 64;
 
 }  // namespace
@@ -64,7 +65,7 @@
       next_heartbeat_(now),
       next_hello_(now) {
   if (hard_state_.storage == 0) hard_state_.storage = options_.new_storage_id;
-  CheckInvariant(hard_state_.storage != 0, "the storage has a number");
+  CheckInvariant(hard_state_.storage != 0, "the storage has a nonzero ID");
   replica_ = {options_.self, hard_state_.storage};
   hello_targets_ = options_.initial_voters;
   bootstrap_forbidden_ = !options_.may_bootstrap;
@@ -76,7 +77,7 @@
     output_.snapshot_to_install = *stored.snapshot;
   }
   for (const LogEntry& entry : stored.entries) AppendEntry(entry);
-  // A crash can leave the entries of a batch without its hard state.
+  // A crash can persist the entries of a batch without its hard state.
   hard_state_.term = std::max(hard_state_.term, log_.LastTerm());
   if (hard_state_.term != stored.hard_state.term) hard_state_.vote = {};
   hard_state_.commit =
@@ -106,11 +107,11 @@
 }
 
 std::map<ReplicaId, Duration> Raft::TimeSinceLastReply() const {
-  std::map<ReplicaId, Duration> silence;
+  std::map<ReplicaId, Duration> elapsed;
   for (const auto& [id, progress] : progress_) {
-    silence[id] = now_ - progress.last_reply;
+    elapsed[id] = now_ - progress.last_reply;
   }
-  return silence;
+  return elapsed;
 }
 
 void Raft::Tick(Time now) {
@@ -132,8 +133,8 @@
     return;
   }
   if (now_ < election_deadline_) return;
-  // A founder that told its term before the first configuration is durable
-  // could not found again after a crash.
+  // If this replica announced its term before the first configuration is
+  // durable, a crash in between would prevent it from bootstrapping again.
   if (durable_index_ == 0) return;
   if (!IsVoter() || storage_failed_) {
     ResetElectionTimer();
@@ -196,17 +197,18 @@
     case Body::kAppend:
     case Body::kSnapshotChunk:
     case Body::kTimeoutNow:
-      // The leader may be a member that our configuration does not hold yet.
+      // The leader may be a member that our configuration doesn't contain yet.
       return message.group() != 0;
     case Body::kPreVote:
     case Body::kVote: {
       if (message.group() == 0) return false;
       if (current.group == 0 || current.IsVoter(from)) return true;
-      // A voter newer than our configuration has a log that is newer as well.
-      const bool pre = message.has_pre_vote();
-      return IsUpToDate(
-          pre ? message.pre_vote().last_index() : message.vote().last_index(),
-          pre ? message.pre_vote().last_term() : message.vote().last_term());
+      // A voter added after our configuration also has a more recent log.
+      const bool is_pre_vote = message.has_pre_vote();
+      return IsUpToDate(is_pre_vote ? message.pre_vote().last_index()
+                                    : message.vote().last_index(),
+                        is_pre_vote ? message.pre_vote().last_term()
+                                    : message.vote().last_term());
     }
     case Body::kPreVoteReply:
     case Body::kVoteReply:
@@ -225,7 +227,8 @@
   if (message.term() == term()) return true;
   const bool asks_for_vote = message.has_pre_vote() ||
                              (message.has_vote() && !message.vote().transfer());
-  // A replica that was cut off must not depose a leader that others hear.
+  // A replica that returns from a partition must not depose a leader that
+  // others still hear from.
   if (asks_for_vote && InLeaderLease()) {
     ++counters_.leader_alive;
     return false;
@@ -236,19 +239,19 @@
 
 void Raft::ReplyToStale(const proto::RaftMessage& message,
                         const ReplicaId& from) {
-  // The answer carries the newer term, so that the sender gives up its role.
-  proto::RaftMessage answer = NewMessage(from);
+  // The reply carries the newer term, which makes the sender step down.
+  proto::RaftMessage response = NewMessage(from);
   if (message.has_append() || message.has_snapshot_chunk()) {
-    answer.mutable_append_reply()->set_success(false);
+    response.mutable_append_reply()->set_success(false);
   } else if (message.has_pre_vote()) {
-    answer.mutable_pre_vote_reply()->set_proposed_term(
+    response.mutable_pre_vote_reply()->set_proposed_term(
         message.pre_vote().proposed_term());
   } else if (message.has_vote()) {
-    answer.mutable_vote_reply()->set_granted(false);
+    response.mutable_vote_reply()->set_granted(false);
   } else {
     return;
   }
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::Dispatch(const proto::RaftMessage& message, const ReplicaId& from) {
@@ -286,7 +289,7 @@
   return message;
 }
 
-// --- Founding --------------------------------------------------------------
+// --- Bootstrap -------------------------------------------------------------
 
 bool Raft::StepHello(const proto::RaftMessage& message, const ReplicaId& from) {
   if (message.has_hello()) {
@@ -315,8 +318,7 @@
     for (const InstanceId& name : options_.initial_voters) {
       message.mutable_hello()->add_founders(name.value());
     }
-    // After the sync: the number of this storage must not be told before it is
-    // durable.
+    // After the sync: the storage ID must be durable before others learn it.
     output_.messages_after_sync.push_back(std::move(message));
   }
   BootstrapIfAllReplied();
@@ -328,8 +330,8 @@
   });
   if (unconfigured_replicas_.size() < kMaxUnconfigured)
     unconfigured_replicas_[from] = now_;
-  proto::RaftMessage answer = NewMessage(from);
-  auto* reply = answer.mutable_hello_reply();
+  proto::RaftMessage response = NewMessage(from);
+  auto* reply = response.mutable_hello_reply();
   reply->set_configured(!configurations_.empty() || term() > 0);
   for (const InstanceId& name : options_.initial_voters) {
     reply->add_founders(name.value());
@@ -337,7 +339,7 @@
   for (const ReplicaId& voter : configuration().voters) {
     reply->add_voters(voter.instance.value());
   }
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::HandleHelloReply(const ReplicaId& from,
@@ -352,11 +354,11 @@
     bootstrap_forbidden_ = true;
     return;
   }
-  std::set<InstanceId> founders;
+  std::set<InstanceId> initial_voters;
   for (const std::string& name : reply.founders()) {
-    founders.insert(InstanceId(name));
+    initial_voters.insert(InstanceId(name));
   }
-  if (founders != options_.initial_voters) {
+  if (initial_voters != options_.initial_voters) {
     ++counters_.malformed;
     return;
   }
@@ -365,7 +367,8 @@
 }
 
 void Raft::BootstrapIfAllReplied() {
-  // One instance founds, so that two logs cannot be founded side by side.
+  // Only the first initial voter bootstraps, so that no two groups can be
+  // bootstrapped concurrently.
   if (options_.initial_voters.empty() ||
       *options_.initial_voters.begin() != options_.self)
     return;
@@ -373,9 +376,9 @@
   RaftConfiguration first;
   first.group = replica_.storage;
   first.voters.insert(replica_);
-  for (const InstanceId& founder : options_.initial_voters) {
-    if (founder == options_.self) continue;
-    const auto found = unconfigured_initial_voters_.find(founder);
+  for (const InstanceId& initial : options_.initial_voters) {
+    if (initial == options_.self) continue;
+    const auto found = unconfigured_initial_voters_.find(initial);
     if (found == unconfigured_initial_voters_.end()) return;
     first.voters.insert(found->second);
   }
@@ -384,7 +387,7 @@
   election_deadline_ = now_;
 }
 
-// --- Proposals and members -------------------------------------------------
+// --- Proposals and membership ----------------------------------------------
 
 ProposeResult Raft::Refuse(ProposeResult::Refusal refusal) const {
   return {.refusal = refusal};
@@ -416,8 +419,9 @@
   using Refusal = ProposeResult::Refusal;
   const ProposeResult check = CheckPropose();
   if (!check.accepted()) return check;
-  // Without an entry of this term committed, a configuration of an earlier
-  // leader could still win, whose quorums need not meet those of `next`.
+  // Until an entry of this term is committed, a configuration that an earlier
+  // leader proposed could still be committed, and its quorums need not overlap
+  // those of `next`.
   if (!configuration_committed() || !CommittedInOwnTerm()) {
     return Refuse(Refusal::kConfigurationPending);
   }
@@ -490,15 +494,15 @@
 void Raft::ReplaceWipedVoter() {
   if (!options_.replace_same_instance) return;
   for (const auto& [id, progress] : progress_) {
-    const bool silent =
+    const bool unresponsive =
         now_ - progress.last_reply >= options_.election_timeout_max;
-    if (!silent || !configuration().IsVoter(id)) continue;
-    for (const auto& [fresh, heard] : unconfigured_replicas_) {
-      if (fresh.instance != id.instance) continue;
-      if (now_ - heard >= 3 * options_.election_timeout_min) continue;
-      // Copies: the change of members alters what the loops run over.
+    if (!unresponsive || !configuration().IsVoter(id)) continue;
+    for (const auto& [unconfigured, last_hello] : unconfigured_replicas_) {
+      if (unconfigured.instance != id.instance) continue;
+      if (now_ - last_hello >= 3 * options_.election_timeout_min) continue;
+      // Copies, as ReplaceVoter() modifies the containers being iterated.
       const ReplicaId lost = id;
-      const ReplicaId replacement = fresh;
+      const ReplicaId replacement = unconfigured;
       ReplaceVoter(lost, replacement, now_);
       return;
     }
@@ -519,8 +523,9 @@
     Promote(plan.replacement, now_);
     return;
   }
-  // The lost voter leaves only after its replacement holds its own promotion,
-  // so that the loss of another voter right after finds a complete copy.
+  // The lost voter is removed only once its replacement has stored the entry of
+  // its own promotion. If another voter is lost right after, the replacement
+  // then has a complete copy of the log.
   if (MatchIndex(plan.replacement) < configurations_.rbegin()->first) return;
   Remove(plan.lost, now_);
 }
@@ -561,7 +566,7 @@
 
 void Raft::TruncateFrom(LogIndex first_removed) {
   CheckInvariant(first_removed > hard_state_.commit,
-                 "committed entries never change");
+                 "committed entries are never truncated");
   CheckInvariant(role_ != RaftRole::kLeader, "a leader never removes entries");
   log_.TruncateFrom(first_removed);
   configurations_.erase(configurations_.lower_bound(first_removed),
@@ -592,7 +597,7 @@
   return true;
 }
 
-// --- Hand-over to the caller -----------------------------------------------
+// --- Output ----------------------------------------------------------------
 
 RaftOutput Raft::TakeOutput() {
   if (role_ == RaftRole::kLeader) {
@@ -626,13 +631,14 @@
                                hard_state_.storage != old.storage;
   output.must_sync = state_must_sync || !output.entries.empty() ||
                      output.truncate_from != 0 || output.save_snapshot;
-  // Messages that tell of an earlier batch wait for it as well.
-  const bool waits = !output.messages_after_sync.empty() && !batches_.empty();
+  // Messages that depend on an earlier batch must wait for it as well.
+  const bool must_wait =
+      !output.messages_after_sync.empty() && !batches_.empty();
   if (!output.must_sync && !output.hard_state) {
-    if (!waits) return;
-    // Answers that wait for a disk that does not write would pile up with each
-    // heartbeat; a lost answer does no harm.
-    if (storage_failed_ || batches_.size() >= kMaxWaitingBatches) {
+    if (!must_wait) return;
+    // While the disk does not complete writes, replies would accumulate with
+    // every heartbeat. Dropping them is safe, like any lost message.
+    if (storage_failed_ || batches_.size() >= kMaxPendingBatches) {
       output.messages_after_sync.clear();
       return;
     }
--- a/servers/consensus/raft_election.cc
+++ b/servers/consensus/raft_election.cc
@@ -1,4 +1,4 @@
-// Raft: terms, elections with pre-vote, leader transfer.
+// Raft: terms, elections with pre-vote, leadership transfer.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace cassiausher {
 
 void Raft::SetTerm(Term term) {
-  CheckInvariant(term > hard_state_.term, "terms never go back");
+  CheckInvariant(term > hard_state_.term, "terms only increase");
   hard_state_.term = term;
   hard_state_.vote = {};
 }
@@ -49,12 +49,12 @@
 }
 
 bool Raft::HasActiveQuorum() const {
-  std::size_t heard = IsVoter() ? 1 : 0;
+  std::size_t active = IsVoter() ? 1 : 0;
   for (const auto& [id, progress] : progress_) {
     if (!configuration().IsVoter(id)) continue;
-    if (now_ - progress.last_reply < options_.election_timeout_min) ++heard;
+    if (now_ - progress.last_reply < options_.election_timeout_min) ++active;
   }
-  return heard >= configuration().Quorum();
+  return active >= configuration().Quorum();
 }
 
 bool Raft::CommittedInOwnTerm() const {
@@ -86,7 +86,7 @@
   leader_ = {};
   output_.role_changed = true;
   ResetElectionTimer();
-  // The own vote counts once it is durable; see OnPersisted().
+  // The vote for itself counts once it is durable; see OnPersisted().
   votes_.clear();
   for (const ReplicaId& voter : configuration().voters) {
     if (voter == replica_) continue;
@@ -101,14 +101,14 @@
 
 void Raft::HandlePreVote(const ReplicaId& from,
                          const proto::RaftPreVote& request) {
-  const bool refused_for_leader = InLeaderLease();
-  if (refused_for_leader) ++counters_.leader_alive;
-  proto::RaftMessage answer = NewMessage(from);
-  auto* reply = answer.mutable_pre_vote_reply();
+  const bool leader_alive = InLeaderLease();
+  if (leader_alive) ++counters_.leader_alive;
+  proto::RaftMessage response = NewMessage(from);
+  auto* reply = response.mutable_pre_vote_reply();
   reply->set_proposed_term(request.proposed_term());
-  reply->set_granted(!refused_for_leader &&
+  reply->set_granted(!leader_alive &&
                      IsUpToDate(request.last_index(), request.last_term()));
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::HandlePreVoteReply(const ReplicaId& from,
@@ -122,16 +122,17 @@
 }
 
 void Raft::HandleVote(const ReplicaId& from, const proto::RaftVote& request) {
-  const bool free = hard_state_.vote.empty() || hard_state_.vote == from;
-  const bool granted = free && leader_.empty() && role_ != RaftRole::kLeader &&
+  const bool may_vote = hard_state_.vote.empty() || hard_state_.vote == from;
+  const bool granted = may_vote && leader_.empty() &&
+                       role_ != RaftRole::kLeader &&
                        IsUpToDate(request.last_index(), request.last_term());
   if (granted) {
     hard_state_.vote = from;
     ResetElectionTimer();
   }
-  proto::RaftMessage answer = NewMessage(from);
-  answer.mutable_vote_reply()->set_granted(granted);
-  output_.messages_after_sync.push_back(std::move(answer));
+  proto::RaftMessage response = NewMessage(from);
+  response.mutable_vote_reply()->set_granted(granted);
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::HandleVoteReply(const ReplicaId& from,
@@ -157,8 +158,10 @@
 }
 
 void Raft::BecomeLeader() {
-  CheckInvariant(role_ == RaftRole::kCandidate, "only a candidate can win");
-  CheckInvariant(hard_state_.vote == replica_, "a leader voted for itself");
+  CheckInvariant(role_ == RaftRole::kCandidate,
+                 "only a candidate can become leader");
+  CheckInvariant(hard_state_.vote == replica_,
+                 "a new leader has voted for itself");
   role_ = RaftRole::kLeader;
   leader_ = replica_;
   output_.role_changed = true;
@@ -166,7 +169,8 @@
   progress_.clear();
   SyncProgressWithConfiguration();
   heartbeat_due_ = true;
-  // Entries of earlier terms commit only together with one of this term.
+  // Entries of earlier terms are committed only indirectly, by committing an
+  // entry of the current term.
   AppendNewEntry(EntryKind::kNoOperation, {});
 }
 
--- a/servers/consensus/raft_log.cc
+++ b/servers/consensus/raft_log.cc
@@ -45,7 +45,7 @@
 
 void RaftLog::TruncateFrom(LogIndex first_removed) {
   CheckInvariant(first_removed > base_index_,
-                 "truncation does not reach the compacted part");
+                 "truncation does not reach compacted entries");
   while (LastIndex() >= first_removed) entries_.pop_back();
 }
 
--- a/servers/consensus/raft_replication.cc
+++ b/servers/consensus/raft_replication.cc
@@ -1,4 +1,4 @@
-// Raft: replication of entries and snapshots, commit, reads.
+// Raft: replication of entries and snapshots, commit index, linearizable reads.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace cassiausher {
 
-// --- Leader's side ---------------------------------------------------------
+// --- Leader ----------------------------------------------------------------
 
 void Raft::Broadcast(SendReason reason) {
   for (auto& [id, progress] : progress_) SendAppends(id, progress, reason);
@@ -29,7 +29,7 @@
   }
   if (progress.state == Replication::kProbe) {
     if (progress.awaiting_reply && !heartbeat) return;
-    // A repeated probe carries no entries: the member may be down for long.
+    // A repeated probe carries no entries, as the member may be down for long.
     const bool repeated = progress.awaiting_reply;
     progress.awaiting_reply = true;
     SendAppend(to, progress.next,
@@ -67,7 +67,7 @@
 
 void Raft::BeginSnapshot(Progress& progress) {
   CheckInvariant(snapshot_ && snapshot_->index >= log_.base_index(),
-                 "a snapshot covers the entries that were dropped");
+                 "a snapshot covers the compacted entries");
   progress.state = Replication::kSnapshot;
   progress.awaiting_reply = false;
   progress.inflight.clear();
@@ -123,8 +123,8 @@
     ++counters_.stale;
     return;
   }
-  // Both sides skip the entries of terms that the other cannot have, so each
-  // refusal backs up by at least a term.
+  // Leader and follower both skip terms that the other's log cannot contain, so
+  // each rejection backs up by at least one term.
   const LogIndex hint = std::min(reply.hint_index(), reply.refused_index() - 1);
   const LogIndex agreed =
       hint < log_.base_index()
@@ -142,11 +142,11 @@
          progress.inflight.front() <= progress.match) {
     progress.inflight.pop_front();
   }
-  const bool probe_answered =
+  const bool probe_acknowledged =
       progress.state == Replication::kProbe && match + 1 >= progress.next;
-  const bool snapshot_passed = progress.state == Replication::kSnapshot &&
-                               match >= progress.snapshot->index;
-  if (probe_answered || snapshot_passed) {
+  const bool snapshot_installed = progress.state == Replication::kSnapshot &&
+                                  match >= progress.snapshot->index;
+  if (probe_acknowledged || snapshot_installed) {
     progress.state = Replication::kPipeline;
     progress.awaiting_reply = false;
     progress.snapshot.reset();
@@ -196,8 +196,8 @@
   std::ranges::sort(matches, std::greater<>());
   const LogIndex candidate = matches[configuration().Quorum() - 1];
   if (candidate <= hard_state_.commit) return;
-  // An entry of an older term on a quorum can still be overwritten; it commits
-  // only below an entry of this term.
+  // An entry of an earlier term can still be overwritten although a quorum has
+  // it. It is committed only indirectly, by an entry of the current term.
   if (log_.TermAt(candidate) != term()) return;
   SetCommit(candidate);
 }
@@ -216,8 +216,8 @@
 
 void Raft::Read(std::uint64_t id, Time now) {
   AdvanceClock(now);
-  // Before an entry of this term is committed, the commit index may be behind
-  // what an earlier leader has confirmed.
+  // Until an entry of this term is committed, the commit index may lag behind
+  // the entries that an earlier leader has committed.
   if (role_ != RaftRole::kLeader || !CommittedInOwnTerm()) {
     output_.reads.push_back({id, false});
     return;
@@ -249,7 +249,7 @@
   pending_reads_.clear();
 }
 
-// --- Follower's side -------------------------------------------------------
+// --- Follower --------------------------------------------------------------
 
 bool Raft::AcceptLeader(const ReplicaId& from) {
   const bool other_leader = !leader_.empty() && leader_ != from;
@@ -285,7 +285,7 @@
   }
   if (!AcceptLeader(from)) return;
   const LogIndex previous = append.previous_index();
-  // What is below the base is committed and therefore the same.
+  // Entries below the base index are committed and therefore identical.
   const bool matches = previous < log_.base_index() ||
                        log_.TermAt(previous) == append.previous_term();
   if (!matches) {
@@ -303,12 +303,12 @@
     AppendEntry(std::move(entry));
   }
   SetCommit(std::min(append.commit(), last_index));
-  proto::RaftMessage answer = NewMessage(from);
-  auto* reply = answer.mutable_append_reply();
+  proto::RaftMessage response = NewMessage(from);
+  auto* reply = response.mutable_append_reply();
   reply->set_success(true);
   reply->set_match_index(std::max(last_index, hard_state_.commit));
   reply->set_round(append.round());
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::RefuseAppend(const ReplicaId& from,
@@ -321,14 +321,14 @@
       std::max(hard_state_.commit,
                log_.LastIndexWithTermAtMost(append.previous_term(),
                                             append.previous_index() - 1));
-  proto::RaftMessage answer = NewMessage(from);
-  auto* reply = answer.mutable_append_reply();
+  proto::RaftMessage response = NewMessage(from);
+  auto* reply = response.mutable_append_reply();
   reply->set_success(false);
   reply->set_refused_index(append.previous_index());
   reply->set_hint_index(hint);
   reply->set_hint_term(log_.TermAt(hint).value_or(0));
   reply->set_round(append.round());
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 void Raft::HandleSnapshotChunk(const ReplicaId& from,
@@ -378,8 +378,8 @@
     configurations_.erase(configurations_.begin(),
                           configurations_.upper_bound(index));
     log_.CompactTo(index);
-    // Another snapshot that replaces the log was not handed over yet; this one
-    // takes its place, and the entries to write start after it.
+    // An earlier snapshot that replaces the log may not be part of a batch yet.
+    // This one supersedes it, so the entries to write start after it.
     if (output_.snapshot_replaces_log) batched_index_ = index;
   } else {
     configurations_.clear();
@@ -401,13 +401,13 @@
 void Raft::ReplySnapshot(const ReplicaId& from,
                          const proto::RaftSnapshotChunk& in,
                          std::uint64_t offset, bool installed) {
-  proto::RaftMessage answer = NewMessage(from);
-  auto* reply = answer.mutable_snapshot_reply();
+  proto::RaftMessage response = NewMessage(from);
+  auto* reply = response.mutable_snapshot_reply();
   reply->set_index(in.index());
   reply->set_offset(offset);
   reply->set_installed(installed);
   reply->set_round(in.round());
-  output_.messages_after_sync.push_back(std::move(answer));
+  output_.messages_after_sync.push_back(std::move(response));
 }
 
 }  // namespace cassiausher
