--- a/tests/consensus/group.h
+++ b/tests/consensus/group.h
@@ -1,5 +1,5 @@
-// A small group of replicas that exchange messages at once, on storage in
-// which every write is durable at once.
+// Test harness: a Raft group with instant message delivery, on storage in which
+// every write is durable immediately.
 #ifndef TESTS_CONSENSUS_GROUP_H_
 #define TESTS_CONSENSUS_GROUP_H_
 
@@ -25,20 +25,21 @@
   std::vector<ReadResult> reads;
 };
 
-/// Instances that exchange messages without loss unless cut off.
+/// Instances that exchange messages without loss, except those in
+/// `disconnected`.
 class Group {
  public:
-  explicit Group(std::set<std::string> founders) {
-    for (const std::string& name : founders) {
-      founders_.insert(InstanceId(name));
+  explicit Group(std::set<std::string> initial_voters) {
+    for (const std::string& name : initial_voters) {
+      initial_voters_.insert(InstanceId(name));
     }
-    for (const std::string& name : founders) Start(name, 1);
+    for (const std::string& name : initial_voters) Start(name, 1);
   }
 
   void Start(const std::string& name, std::uint64_t storage) {
     RaftOptions options{.self = InstanceId(name),
                         .new_storage_id = storage,
-                        .initial_voters = founders_,
+                        .initial_voters = initial_voters_,
                         .seed = std::hash<std::string>{}(name) + storage,
                         .snapshot_chunk_bytes = 4,
                         .entries_kept_after_compaction = 0,
@@ -46,7 +47,7 @@
     nodes[name] = {std::make_unique<Raft>(options, StoredState{}, now)};
   }
 
-  /// Lets `duration` pass in steps of 10 ms.
+  /// Advances time by `duration` in steps of 10 ms.
   void Run(Duration duration) {
     const Time end = now + duration;
     while (now < end) {
@@ -58,6 +59,7 @@
     }
   }
 
+  /// Processes outputs and delivers messages until none are left.
   void Settle() {
     bool busy = true;
     while (busy) {
@@ -69,7 +71,7 @@
         if (observer) observer(message);
         network_.pop_front();
         const std::string to = message.to().instance();
-        if (cut_off.contains(from) || cut_off.contains(to)) continue;
+        if (disconnected.contains(from) || disconnected.contains(to)) continue;
         if (nodes.contains(to)) nodes[to].raft->Step(message, now);
       }
     }
@@ -77,7 +79,8 @@
 
   std::string Leader() const {
     for (const auto& [name, node] : nodes) {
-      if (!cut_off.contains(name) && node.raft->role() == RaftRole::kLeader) {
+      if (!disconnected.contains(name) &&
+          node.raft->role() == RaftRole::kLeader) {
         return name;
       }
     }
@@ -95,9 +98,9 @@
 
   std::map<std::string, GroupNode> nodes;
   bool replace_same_instance = false;
-  std::set<std::string> cut_off;
+  std::set<std::string> disconnected;
   std::set<std::string> paused;
-  /// Called with each message before it is delivered or lost.
+  /// Called with each message before it is delivered or dropped.
   std::function<void(const proto::RaftMessage&)> observer;
   Time now{Seconds(1)};
 
@@ -116,7 +119,7 @@
     return true;
   }
 
-  std::set<InstanceId> founders_;
+  std::set<InstanceId> initial_voters_;
   std::deque<std::pair<std::string, proto::RaftMessage>> network_;
 };
 
--- a/tests/consensus/linearizability.cc
+++ b/tests/consensus/linearizability.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Depth-first search over the orders that respect real time.
+/// Depth-first search over the sequential orders that respect real-time order.
 class Search {
  public:
   explicit Search(const std::vector<RegisterOperation>& operations)
@@ -25,7 +25,7 @@
     if (!visited_.insert({done_, value}).second) return false;
     for (std::size_t i = 0; i < operations_.size(); ++i) {
       const RegisterOperation& operation = operations_[i];
-      // An operation that was invoked after another had returned comes later.
+      // An operation invoked after another one returned must come later.
       if (done_[i] || operation.invoked > first_return) continue;
       if (!operation.is_write && operation.value != value) continue;
       done_[i] = true;
@@ -48,7 +48,7 @@
   for (const auto& operation : operations) {
     if (!operation.is_write) read.insert(operation.value);
   }
-  // A write of unknown outcome that nobody read may as well not have happened.
+  // A write of unknown outcome that was never read can be treated as not done.
   std::erase_if(operations, [&](const RegisterOperation& operation) {
     return operation.returned == RegisterOperation::kNever &&
            (!operation.is_write || !read.contains(operation.value));
--- a/tests/consensus/linearizability.h
+++ b/tests/consensus/linearizability.h
@@ -14,10 +14,11 @@
       std::numeric_limits<std::int64_t>::max();
 
   bool is_write = false;
-  /// Written or read; writes have different values, 0 is the first state.
+  /// Value written or read. Writes have distinct values; 0 is the initial
+  /// value.
   std::uint64_t value = 0;
   std::int64_t invoked = 0;
-  /// kNever if the outcome is unknown; reads of unknown outcome are left out.
+  /// kNever if the outcome is unknown; such reads are ignored.
   std::int64_t returned = kNever;
 };
 
--- a/tests/consensus/raft_fuzz_test.cc
+++ b/tests/consensus/raft_fuzz_test.cc
@@ -1,6 +1,6 @@
-// Guards against a message that ends the process: damaged forms of real
-// messages and random bytes are decoded and given to a replica, which may
-// refuse them but must go on.
+// Fuzz test. Guards against messages that crash the process: corrupted copies
+// of real messages and random bytes are decoded and passed to a replica, which
+// may reject them but must keep working.
 #include <CppUTest/TestHarness.h>
 #include <google/protobuf/stubs/logging.h>
 
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr int kDamagedMessages = 400000;
+constexpr int kCorruptedMessages = 400000;
 
-/// All kinds of messages, as a group sends them while it is founded, elects,
-/// replicates, sends a snapshot and transfers leadership.
+/// Messages of every kind, recorded from a group during bootstrap, election,
+/// replication, a snapshot transfer and a leadership transfer.
 std::vector<std::string> RealMessages() {
   std::vector<std::string> messages;
   Group group({"a", "b", "c"});
@@ -28,20 +28,20 @@
   };
   group.Run(Seconds(3));
   const std::string behind = group.Leader() == "c" ? "b" : "c";
-  group.cut_off = {behind};
+  group.disconnected = {behind};
   for (int i = 0; i < 10; ++i) {
     group.LeaderRaft().Propose(std::to_string(i), group.now);
     group.Settle();
   }
   group.LeaderRaft().Compact(group.LeaderRaft().applied_index(), "some state");
-  group.cut_off.clear();
+  group.disconnected.clear();
   group.Run(Seconds(2));
   group.LeaderRaft().TransferLeadership({}, group.now);
   group.Run(Seconds(1));
   return messages;
 }
 
-std::string Damage(std::string bytes, Random& random) {
+std::string Corrupt(std::string bytes, Random& random) {
   const std::uint64_t changes = 1 + random.Below(3);
   for (std::uint64_t i = 0; i < changes && !bytes.empty(); ++i) {
     const std::size_t at = random.Below(bytes.size());
@@ -65,30 +65,32 @@
 }  // namespace
 
 TEST_GROUP(RaftFuzz) {
-  // The library writes a line for each string that is not UTF-8.
+  // Protobuf logs a line for each string that is not valid UTF-8.
   google::protobuf::LogSilencer silencer;
 };
 
-TEST(RaftFuzz, DamagedMessagesAreRefusedWithoutACrash) {
+TEST(RaftFuzz, CorruptedMessagesAreRejectedWithoutACrash) {
   const std::vector<std::string> real = RealMessages();
   std::uint64_t decoded = 0;
-  RaftCounters refused;
+  RaftCounters rejected;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Random random(seed);
     Group group({"a", "b", "c"});
     group.Run(Seconds(3));
     for (int i = 0; i < 5; ++i) group.LeaderRaft().Propose("x", group.now);
     group.Run(Seconds(1));
-    // Messages that reach below the part of the log that was dropped.
+    // So that messages also refer to compacted entries.
     for (auto& [name, node] : group.nodes) {
       CHECK(node.raft->Compact(node.raft->applied_index() - 2, "state"));
     }
-    for (int i = 0; i < kDamagedMessages / 20; ++i) {
-      const std::string bytes = Damage(real[random.Below(real.size())], random);
+    for (int i = 0; i < kCorruptedMessages / 20; ++i) {
+      const std::string bytes =
+          Corrupt(real[random.Below(real.size())], random);
       proto::RaftMessage message;
       if (!message.ParseFromString(bytes)) continue;
       ++decoded;
-      // Most damage would end at the checks of address, group and term.
+      // Otherwise the checks of destination, group and term would reject most
+      // corrupted messages.
       Raft& raft = group.At(std::string(1, "abc"[random.Below(3)]));
       if (random.Chance(0.7)) {
         *message.mutable_to() = ToProto(raft.replica());
@@ -100,22 +102,22 @@
       if (random.Chance(0.02)) group.Run(Milliseconds(300));
     }
     for (const auto& [name, node] : group.nodes) {
-      refused.malformed += node.raft->counters().malformed;
-      refused.non_member += node.raft->counters().non_member;
-      refused.unsafe += node.raft->counters().unsafe;
-      refused.stale += node.raft->counters().stale;
+      rejected.malformed += node.raft->counters().malformed;
+      rejected.non_member += node.raft->counters().non_member;
+      rejected.unsafe += node.raft->counters().unsafe;
+      rejected.stale += node.raft->counters().stale;
     }
   }
   std::printf(
-      "%lu damaged messages decoded; refused as malformed %lu, non-member %lu, "
-      "unsafe %lu, stale %lu\n",
-      decoded, refused.malformed, refused.non_member, refused.unsafe,
-      refused.stale);
-  CHECK(decoded > kDamagedMessages / 10);
-  CHECK(refused.malformed > 0 && refused.stale > 0);
+      "%lu corrupted messages decoded; rejected as malformed %lu, "
+      "non-member %lu, unsafe %lu, stale %lu\n",
+      decoded, rejected.malformed, rejected.non_member, rejected.unsafe,
+      rejected.stale);
+  CHECK(decoded > kCorruptedMessages / 10);
+  CHECK(rejected.malformed > 0 && rejected.stale > 0);
 }
 
-TEST(RaftFuzz, RandomBytesAreRefusedWithoutACrash) {
+TEST(RaftFuzz, RandomBytesAreRejectedWithoutACrash) {
   Random random(1);
   Group group({"a", "b", "c"});
   group.Run(Seconds(3));
--- a/tests/consensus/raft_random_test.cc
+++ b/tests/consensus/raft_random_test.cc
@@ -1,6 +1,6 @@
-// Guards against violations of the safety of the log under faults in any
-// combination, and against a group that does not recover once they end.
-// CASSIAUSHER_CONSENSUS_SEEDS sets the number of seeds,
+// Randomised simulation. Guards against violations of Raft's safety properties
+// under any combination of faults, and against a group that does not recover
+// once the faults end. CASSIAUSHER_CONSENSUS_SEEDS sets the number of seeds,
 // CASSIAUSHER_CONSENSUS_FIRST_SEED the first one.
 #include <CppUTest/TestHarness.h>
 
@@ -23,9 +23,9 @@
 constexpr std::uint64_t kSeeds = 4000;
 constexpr int kThreads = 4;
 
-std::uint64_t FromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t FromEnvironment(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
 void Add(const SimulationCounts& from, SimulationCounts& to) {
@@ -52,7 +52,7 @@
   std::mutex mutex;
   SimulationCounts total;
   std::vector<std::string> violations;
-  const auto work = [&] {
+  const auto run_seeds = [&] {
     for (std::uint64_t seed = next++; seed < first + seeds; seed = next++) {
       Simulation simulation(seed);
       const std::string violation = simulation.Run();
@@ -64,7 +64,7 @@
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < kThreads; ++i) threads.emplace_back(work);
+  for (int i = 0; i < kThreads; ++i) threads.emplace_back(run_seeds);
   for (std::thread& thread : threads) thread.join();
   std::printf(
       "%lu seeds: %lu elections, %lu entries, %lu crashes, %lu replacements, "
@@ -77,7 +77,7 @@
     std::printf("%s\n", violations[i].c_str());
   }
   CHECK(violations.empty());
-  // A run without faults or results would prove nothing.
+  // Ensures that the faults occurred and that operations completed.
   if (seeds >= kSeeds) {
     CHECK(total.crashes > seeds && total.replacements > seeds / 4);
     CHECK(total.snapshots_installed > seeds / 4);
@@ -88,12 +88,12 @@
 
 TEST_GROUP(Linearizability){};
 
-TEST(Linearizability, StaleReadIsFound) {
+TEST(Linearizability, StaleReadIsNotLinearizable) {
   CHECK(!IsLinearizable({{true, 1, 0, 1}, {true, 2, 2, 3}, {false, 1, 4, 5}}));
   CHECK(IsLinearizable({{true, 1, 0, 1}, {true, 2, 2, 5}, {false, 1, 4, 5}}));
 }
 
-TEST(Linearizability, WriteOfUnknownOutcomeMayTakeEffectLateButOnce) {
+TEST(Linearizability, WriteOfUnknownOutcomeMayTakeEffectLaterButOnlyOnce) {
   constexpr auto kNever = RegisterOperation::kNever;
   CHECK(IsLinearizable(
       {{true, 1, 0, kNever}, {false, 0, 2, 3}, {false, 1, 4, 5}}));
--- a/tests/consensus/raft_rules_test.cc
+++ b/tests/consensus/raft_rules_test.cc
@@ -1,5 +1,5 @@
-// Guards the rules of the algorithm that random faults seldom show, message by
-// message on one replica `a` of the voters `a`, `b` and `c`.
+// Guards the rules of Raft that random faults rarely exercise, by sending
+// single messages to replica `a` of the voters `a`, `b` and `c`.
 #include <CppUTest/TestHarness.h>
 
 #include <memory>
@@ -23,7 +23,8 @@
   return configuration;
 }
 
-/// A log of the configuration in term 1 and data entries of `terms`.
+/// A log with a configuration entry of term 1 and a data entry per element of
+/// `terms`.
 StoredState Stored(const std::vector<Term>& terms) {
   StoredState stored;
   stored.hard_state.term = terms.empty() ? 1 : terms.back();
@@ -90,7 +91,7 @@
     return output;
   }
 
-  /// Runs the pre-vote; the replica is a candidate then.
+  /// Lets the replica win the pre-vote, so that it becomes a candidate.
   RaftOutput BecomeCandidate() {
     now += Seconds(3);
     raft->Tick(now);
@@ -122,9 +123,9 @@
   }
 };
 
-// An entry of an older term on a quorum can still be overwritten by a leader
-// that has a newer term in its log.
-TEST(RaftRules, EntryOfOlderTermCommitsOnlyBelowOneOfThisTerm) {
+// Guards against committing an entry of an earlier term because a quorum has
+// it: a leader with a newer term in its log can still overwrite it.
+TEST(RaftRules, EntryOfEarlierTermCommitsOnlyWithOneOfTheCurrentTerm) {
   Start({2});
   BecomeLeader();
   Match(replica_b, 2);
@@ -133,7 +134,7 @@
   LONGS_EQUAL(3, raft->commit_index());
 }
 
-TEST(RaftRules, OwnVoteCountsOnceItIsDurable) {
+TEST(RaftRules, VoteForItselfCountsOnceItIsDurable) {
   Start({});
   const RaftOutput output = BecomeCandidate();
   CHECK(raft->role() == RaftRole::kCandidate);
@@ -145,9 +146,9 @@
   CHECK(raft->role() == RaftRole::kLeader);
 }
 
-TEST(RaftRules, VoteInAKnownTermIsSyncedAndGivenOnce) {
+TEST(RaftRules, VoteIsSyncedAndGrantedToOneCandidatePerTerm) {
   Start({2});
-  // Raises the term; the log of `b` is behind.
+  // Raises the term without a vote, as the log of `b` is behind.
   Persisted(StepAndTake(VoteFrom(replica_b, 5, 1, 1)));
   const RaftOutput granted =
       Persisted(StepAndTake(VoteFrom(replica_c, 5, 2, 2)));
@@ -162,8 +163,9 @@
   CHECK(repeated.messages_after_sync.at(0).vote_reply().granted());
 }
 
-// A replica that returns from a partition must not depose the leader.
-TEST(RaftRules, NoElectionWhileTheLeaderIsHeard) {
+// Guards against a replica that returns from a partition and deposes the
+// leader.
+TEST(RaftRules, VotesAreRefusedWhileTheLeaderIsAlive) {
   Start({});
   Persisted(StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1)));
   now += Milliseconds(900);
@@ -181,9 +183,9 @@
   CHECK(granted.messages_after_sync.at(0).pre_vote_reply().granted());
 }
 
-// What was durable before a truncation says nothing about the entry that took
-// the place of the removed one.
-TEST(RaftRules, BatchFromBeforeATruncationMakesNothingDurable) {
+// Guards against counting an entry as durable because the entry that it
+// replaced at the same index was.
+TEST(RaftRules, BatchBeforeATruncationMakesNoLaterEntryDurable) {
   Start({});
   const RaftOutput first = StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1));
   const RaftOutput second = StepAndTake(AppendFrom(replica_c, 3, 2, 1, 2));
@@ -197,8 +199,9 @@
   LONGS_EQUAL(3, output.committed[0].term);
 }
 
-// An answer must not overtake the write of an earlier batch that it speaks of.
-TEST(RaftRules, AnswerToARepeatedAppendWaitsForTheWrite) {
+// Guards against acknowledging entries of an earlier batch before it is
+// durable.
+TEST(RaftRules, ReplyToADuplicateAppendWaitsForTheEarlierBatch) {
   Start({});
   const RaftOutput first = StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1));
   const RaftOutput repeated = StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1));
@@ -207,8 +210,9 @@
   CHECK(repeated.batch > first.batch);
 }
 
-// Guards against memory that grows with each heartbeat while a disk is full.
-TEST(RaftRules, AnswersDoNotPileUpWhileTheDiskDoesNotWrite) {
+// Guards against memory use that grows with each heartbeat while a disk is
+// full.
+TEST(RaftRules, RepliesDoNotAccumulateWhileTheDiskDoesNotWrite) {
   Start({});
   const RaftOutput first = StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1));
   std::size_t batches = 0;
@@ -227,7 +231,7 @@
   LONGS_EQUAL(1, good.messages_after_sync.size());
 }
 
-TEST(RaftRules, SecondLeaderOfATermIsRefused) {
+TEST(RaftRules, AppendFromASecondLeaderOfTheTermIsRejected) {
   Start({});
   Persisted(StepAndTake(AppendFrom(replica_b, 2, 2, 1, 1)));
   Persisted(StepAndTake(AppendFrom(replica_c, 2, 3, 2, 1)));
@@ -244,8 +248,8 @@
   LONGS_EQUAL(2, *raft->TermAt(2));
 }
 
-// Entries below the base are not compared; the one at the base must be.
-TEST(RaftRules, AppendThatDiffersFromTheCompactedPartIsRefused) {
+// Entries below the base index are not compared; the one at it must be.
+TEST(RaftRules, AppendThatConflictsWithACompactedEntryIsRejected) {
   Start({2});
   Persisted(StepAndTake(AppendFrom(replica_b, 3, 3, 2, 3)));
   raft->TakeOutput();
@@ -263,7 +267,7 @@
   LONGS_EQUAL(3, raft->last_index());
 }
 
-TEST(RaftRules, MembersChangeOnlyAfterTheLastChangeIsCommitted) {
+TEST(RaftRules, MembershipChangeIsRefusedUntilThePreviousOneIsCommitted) {
   using Refusal = ProposeResult::Refusal;
   Start({});
   BecomeLeader();
@@ -280,8 +284,9 @@
   CHECK(raft->Remove(replica_c, now).accepted());
 }
 
-// A voter lost right after the repair must find a complete copy at the new one.
-TEST(RaftRules, LostVoterLeavesOnceItsReplacementHoldsThePromotion) {
+// Guards against the loss of entries when another voter is lost right after the
+// replacement: the new voter must have a complete copy of the log.
+TEST(RaftRules, LostVoterIsRemovedOnceItsReplacementStoredItsPromotion) {
   Start({});
   BecomeLeader();
   Match(replica_b, 2);
@@ -303,7 +308,7 @@
   CHECK(!raft->configuration().replacement.has_value());
 }
 
-TEST(RaftRules, QuorumIsMoreThanHalf) {
+TEST(RaftRules, QuorumIsAMajorityOfTheVoters) {
   RaftConfiguration configuration;
   const std::size_t quorums[] = {1, 2, 2, 3, 3, 4, 4};
   for (const std::size_t quorum : quorums) {
--- a/tests/consensus/raft_test.cc
+++ b/tests/consensus/raft_test.cc
@@ -1,5 +1,6 @@
-// Guards the single rules of the consensus core on small groups in which every
-// write is durable at once. The randomised test covers faults in combination.
+// Guards the behaviour of Raft in single scenarios, on small groups in which
+// every write is durable immediately. raft_random_test.cc covers combinations
+// of faults.
 #include <CppUTest/TestHarness.h>
 
 #include <cstdio>
@@ -20,7 +21,7 @@
   }
 };
 
-TEST(Raft, FoundsElectsAndCommits) {
+TEST(Raft, BootstrapsElectsALeaderAndCommits) {
   group.Run(Seconds(3));
   CHECK(group.Leader() != "");
   CHECK(group.LeaderRaft().Propose("x", group.now).accepted());
@@ -28,17 +29,17 @@
   for (const auto& [name, node] : group.nodes) CHECK(group.Applied(name, "x"));
 }
 
-// Guards against a wiped instance that founds a second log.
-TEST(Raft, NothingIsFoundedWhileAFounderIsMissing) {
-  group.cut_off = {"c"};
+// Guards against an instance with an empty disk that bootstraps a second group.
+TEST(Raft, NoBootstrapWhileAnInitialVoterIsUnreachable) {
+  group.disconnected = {"c"};
   group.Run(Seconds(10));
   STRCMP_EQUAL("", group.Leader().c_str());
-  group.cut_off.clear();
+  group.disconnected.clear();
   group.Run(Seconds(3));
   CHECK(group.Leader() != "");
 }
 
-TEST(Raft, WipedInstanceFoundsNothingAndIsNoMember) {
+TEST(Raft, InstanceWithEmptyDiskNeitherBootstrapsNorBecomesMember) {
   group.Run(Seconds(3));
   group.Start("a", 2);
   group.Run(Seconds(10));
@@ -48,11 +49,11 @@
       {InstanceId("a"), 2}));
 }
 
-// Guards against an isolated leader that still answers.
+// Guards against stale reads from a leader that is partitioned from the group.
 TEST(Raft, IsolatedLeaderStepsDownAndServesNoRead) {
   group.Run(Seconds(3));
   const std::string old_leader = group.Leader();
-  group.cut_off = {old_leader};
+  group.disconnected = {old_leader};
   group.At(old_leader).Read(7, group.now);
   group.Run(Milliseconds(1100));
   CHECK(group.At(old_leader).role() != RaftRole::kLeader);
@@ -69,30 +70,31 @@
   CHECK(reads[0].served);
 }
 
-// Guards against an instance that comes back and deposes a healthy leader.
-TEST(Raft, ReturnOfACutOffFollowerKeepsTheLeader) {
+// Guards against an instance that returns from a partition and deposes a
+// healthy leader.
+TEST(Raft, FollowerReturningFromAPartitionDoesNotDeposeTheLeader) {
   group.Run(Seconds(3));
   const std::string leader = group.Leader();
   const Term term = group.LeaderRaft().term();
-  group.cut_off = {Follower()};
+  group.disconnected = {Follower()};
   group.Run(Seconds(20));
-  group.cut_off.clear();
+  group.disconnected.clear();
   group.Run(Seconds(3));
   STRCMP_EQUAL(leader.c_str(), group.Leader().c_str());
   LONGS_EQUAL(term, group.LeaderRaft().term());
 }
 
-TEST(Raft, FollowerFarBehindGetsSnapshotInChunks) {
+TEST(Raft, FollowerBehindTheCompactedLogGetsSnapshotInChunks) {
   group.Run(Seconds(3));
   const std::string behind = Follower();
-  group.cut_off = {behind};
+  group.disconnected = {behind};
   for (int i = 0; i < 20; ++i) {
     group.LeaderRaft().Propose(std::to_string(i), group.now);
     group.Settle();
   }
   CHECK(group.LeaderRaft().Compact(group.LeaderRaft().applied_index(),
                                    "state of twenty entries"));
-  group.cut_off.clear();
+  group.disconnected.clear();
   group.Run(Seconds(3));
   CHECK(group.nodes[behind].installed.has_value());
   STRCMP_EQUAL("state of twenty entries",
@@ -113,8 +115,8 @@
 }
 
 // Guards against the loss of committed entries when a second voter is lost
-// right after the repair of the first.
-TEST(Raft, SecondLossRightAfterARepairLosesNothing) {
+// right after the first was replaced.
+TEST(Raft, LossOfASecondVoterAfterAReplacementKeepsCommittedEntries) {
   group.Run(Seconds(3));
   CHECK(group.LeaderRaft().Propose("before", group.now).accepted());
   group.Settle();
@@ -140,8 +142,9 @@
   CHECK(group.Applied("d", "after"));
 }
 
-// An operator's order is not needed when the same instance comes back empty.
-TEST(Raft, WipedVoterIsReplacedByItsOwnNewReplica) {
+// No operator command is needed when the same instance returns with an empty
+// disk.
+TEST(Raft, VoterWithEmptyDiskIsReplacedByItsNewReplica) {
   group.replace_same_instance = true;
   for (const char* name : {"a", "b", "c"}) group.Start(name, 1);
   group.Run(Seconds(3));
@@ -158,15 +161,16 @@
   CHECK(group.Applied(wiped, "before"));
 }
 
-// Two processes under one name must not push each other out.
-TEST(Raft, VoterThatAnswersIsNotReplacedByItsNamesake) {
+// Guards against two processes with the same instance name that keep replacing
+// each other.
+TEST(Raft, ResponsiveVoterIsNotReplacedByAnotherReplicaOfItsInstance) {
   group.replace_same_instance = true;
   for (const char* name : {"a", "b", "c"}) group.Start(name, 1);
   group.Run(Seconds(3));
   const RaftConfiguration before = group.LeaderRaft().configuration();
-  const std::string namesake = Follower();
+  const std::string duplicate = Follower();
   proto::RaftMessage hello;
-  *hello.mutable_from() = ToProto({InstanceId(namesake), 2});
+  *hello.mutable_from() = ToProto({InstanceId(duplicate), 2});
   hello.mutable_to()->set_instance(group.Leader());
   hello.mutable_hello();
   for (int i = 0; i < 100; ++i) {
@@ -176,7 +180,7 @@
   CHECK(group.LeaderRaft().configuration() == before);
 }
 
-TEST(Raft, FailedStorageEndsLeadership) {
+TEST(Raft, LeaderStepsDownWhenItsStorageFails) {
   group.Run(Seconds(3));
   const std::string leader = group.Leader();
   group.LeaderRaft().OnPersistFailed(group.now);
@@ -185,7 +189,7 @@
   CHECK(group.Leader() != "");
 }
 
-TEST(Raft, ForeignMessagesAreCountedAndIgnored) {
+TEST(Raft, MessagesOfNonMembersAreCountedAndIgnored) {
   group.Run(Seconds(3));
   Raft& leader = group.LeaderRaft();
   const Term term = leader.term();
@@ -206,8 +210,8 @@
   LONGS_EQUAL(term, leader.term());
 }
 
-// Control traffic of a node at rest may be 3 KB/s in all; consensus is one part
-// of it.
+// The target for all control traffic of an idle node is 3 KB/s; consensus is
+// one part of it.
 TEST(Raft, IdleGroupStaysWithinTheTrafficTarget) {
   constexpr int kSeconds = 60;
   constexpr double kTargetBytesPerSecond = 3000;
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -13,17 +13,17 @@
 
 constexpr Duration kStep = Milliseconds(10);
 constexpr int kFaultySteps = 800;
-constexpr int kQuietSteps = 1000;
+constexpr int kRecoverySteps = 1000;
 constexpr int kRegisters = 3;
 constexpr Duration kClientTimeout = Milliseconds(1500);
 
-const std::set<InstanceId>& Founders() {
-  static const std::set<InstanceId> founders{InstanceId("a"), InstanceId("b"),
-                                             InstanceId("c")};
-  return founders;
+const std::set<InstanceId>& InitialVoters() {
+  static const std::set<InstanceId> initial_voters{
+      InstanceId("a"), InstanceId("b"), InstanceId("c")};
+  return initial_voters;
 }
 
-/// Returns the error's text, "" on success.
+/// Returns the error message of `operation`, or "" on success.
 template <typename Operation>
 std::string ErrorText(Operation operation) {
   return boost::leaf::try_handle_all(
@@ -67,7 +67,7 @@
     return random_.Chance(0.5) ? probability : 0.0;
   };
   faults_ = {.drop = sometimes(0.15),
-             .repeat = sometimes(0.15),
+             .duplicate = sometimes(0.15),
              .long_delay = sometimes(0.1),
              .partition = sometimes(0.02),
              .heal = 0.02,
@@ -78,27 +78,27 @@
              .transfer = sometimes(0.01),
              .slow_sync = sometimes(0.1),
              .replacement = random_.Chance(0.5),
-             .automatic = random_.Chance(0.5)};
+             .automatic_replacement = random_.Chance(0.5)};
   losses_left_ = faults_.replacement ? 2 : 0;
-  for (const InstanceId& name : Founders()) AddMachine(name.value());
+  for (const InstanceId& name : InitialVoters()) AddMachine(name.value());
   clients_.resize(3);
 }
 
-void Simulation::Violate(const std::string& what) {
+void Simulation::ReportViolation(const std::string& what) {
   if (violation_.empty()) violation_ = what;
 }
 
 std::string Simulation::Run() {
   for (int step = 0; step < kFaultySteps && violation_.empty(); ++step) {
-    CauseFaults();
+    InjectFaults();
     Step();
     if (step % 50 == 0) CheckLogsMatch();
   }
   Heal();
   int step = 0;
-  while (violation_.empty() && !Settled()) {
-    if (++step > kQuietSteps) {
-      Violate("no progress after the faults ended");
+  while (violation_.empty() && !HasConverged()) {
+    if (++step > kRecoverySteps) {
+      ReportViolation("no progress after the faults ended");
       break;
     }
     Step();
@@ -125,7 +125,7 @@
 
 // --- Faults ----------------------------------------------------------------
 
-void Simulation::CauseFaults() {
+void Simulation::InjectFaults() {
   std::vector<std::string> names;
   for (const auto& [name, machine] : machines_) names.push_back(name);
   const auto pick = [&] { return names[random_.Below(names.size())]; };
@@ -161,14 +161,14 @@
     Machine& machine = *machines_[leader];
     machine.process->raft->TransferLeadership({}, LocalTime(machine));
   }
-  const bool founded = committed_.size() > 3;
-  if (founded && losses_left_ == 2 && random_.Chance(0.01)) {
+  const bool bootstrapped = committed_.size() > 3;
+  if (bootstrapped && losses_left_ == 2 && random_.Chance(0.01)) {
     LoseMachine(pick());
   }
 }
 
 void Simulation::Heal() {
-  faults_ = {.automatic = faults_.automatic};
+  faults_ = {.automatic_replacement = faults_.automatic_replacement};
   blocked_.clear();
   for (auto& [name, machine] : machines_) {
     machine->disk.space = 100000000;
@@ -177,9 +177,9 @@
   }
 }
 
-bool Simulation::Settled() {
+bool Simulation::HasConverged() {
   const std::string leader = Leader();
-  if (leader.empty() || replacing_) return false;
+  if (leader.empty() || pending_replacement_) return false;
   Raft& raft = *machines_[leader]->process->raft;
   if (raft.configuration().voters.size() != 3) return false;
   for (const ReplicaId& voter : raft.configuration().voters) {
@@ -188,7 +188,8 @@
     if (found->second->process->raft->replica() != voter) return false;
     if (found->second->process->applied != raft.last_index()) return false;
   }
-  // The last entry is from after the faults if this leader committed it.
+  // An entry that this leader committed in its own term proves progress after
+  // the faults.
   return raft.commit_index() == raft.last_index() &&
          committed_.back().term == raft.term();
 }
@@ -202,7 +203,7 @@
 void Simulation::Start(const std::string& name) {
   Machine& machine = *machines_[name];
   auto process = std::make_unique<Process>();
-  process->life = next_life_++;
+  process->id = next_process_id_++;
   process->log =
       std::make_unique<FileLog>(std::make_unique<FaultFileSystem>(machine.disk),
                                 FileLogOptions{.segment_bytes = 2000});
@@ -214,25 +215,26 @@
     return {};
   });
   if (!error.empty()) {
-    Violate(fmt::format("{} can't load its log: {}", name, error));
+    ReportViolation(fmt::format("{} cannot load its log: {}", name, error));
     return;
   }
-  if (stored.hard_state.term < machine.term_told) {
-    Violate(name + " forgot its term");
-  }
-  const RaftOptions options{.self = InstanceId(name),
-                            .new_storage_id = machine.new_storage_id,
-                            .initial_voters = Founders(),
-                            .heartbeat = Milliseconds(40),
-                            .election_timeout_min = Milliseconds(200),
-                            .election_timeout_max = Milliseconds(400),
-                            .seed = random_.Below(1000000),
-                            .max_append_bytes = 20,
-                            .max_inflight = 4,
-                            .snapshot_chunk_bytes = 8,
-                            .entries_kept_after_compaction = random_.Below(10),
-                            .replace_same_instance = faults_.automatic,
-                            .promotion_lag_entries = 4};
+  if (stored.hard_state.term < machine.highest_sent_term) {
+    ReportViolation(name + " loaded a lower term than it has sent");
+  }
+  const RaftOptions options{
+      .self = InstanceId(name),
+      .new_storage_id = machine.new_storage_id,
+      .initial_voters = InitialVoters(),
+      .heartbeat = Milliseconds(40),
+      .election_timeout_min = Milliseconds(200),
+      .election_timeout_max = Milliseconds(400),
+      .seed = random_.Below(1000000),
+      .max_append_bytes = 20,
+      .max_inflight = 4,
+      .snapshot_chunk_bytes = 8,
+      .entries_kept_after_compaction = random_.Below(10),
+      .replace_same_instance = faults_.automatic_replacement,
+      .promotion_lag_entries = 4};
   process->raft = std::make_unique<Raft>(options, stored, LocalTime(machine));
   machine.process = std::move(process);
 }
@@ -250,34 +252,35 @@
   const ReplicaId lost = machine.process->raft->replica();
   machines_.erase(name);
   --losses_left_;
-  // Half of the time the same instance comes back with an empty disk.
+  // With probability 1/2 the same instance returns with an empty disk.
   const std::string replacement =
       random_.Chance(0.5) ? name : std::string(losses_left_ == 1 ? "d" : "e");
   AddMachine(replacement);
-  replacing_ = {lost, replacement};
+  pending_replacement_ = {lost, replacement};
 }
 
 void Simulation::DriveReplacement() {
   const std::string leader = Leader();
-  if (!replacing_ || leader.empty()) return;
+  if (!pending_replacement_ || leader.empty()) return;
   Machine& machine = *machines_[leader];
   Raft& raft = *machine.process->raft;
-  const Machine& fresh = *machines_[replacing_->second];
+  const Machine& fresh = *machines_[pending_replacement_->second];
   if (!fresh.process) return;
   const ReplicaId replacement = fresh.process->raft->replica();
   const RaftConfiguration& current = raft.configuration();
-  if (current.IsVoter(replacing_->first)) {
+  if (current.IsVoter(pending_replacement_->first)) {
     const bool same_instance =
-        replacement.instance == replacing_->first.instance;
-    if (faults_.automatic && same_instance) return;
-    raft.ReplaceVoter(replacing_->first, replacement, LocalTime(machine));
+        replacement.instance == pending_replacement_->first.instance;
+    if (faults_.automatic_replacement && same_instance) return;
+    raft.ReplaceVoter(pending_replacement_->first, replacement,
+                      LocalTime(machine));
     return;
   }
   if (!raft.configuration_committed() || !current.IsVoter(replacement)) return;
   ++counts_.replacements;
-  replacing_.reset();
+  pending_replacement_.reset();
   if (losses_left_ == 0) return;
-  // The second loss follows at once; any other voter may be hit.
+  // The second loss follows immediately and hits any other voter.
   std::vector<std::string> others;
   for (const ReplicaId& voter : current.voters) {
     if (voter != replacement) others.push_back(voter.instance.value());
@@ -291,10 +294,10 @@
                       std::vector<proto::RaftMessage>& messages) {
   for (proto::RaftMessage& message : messages) {
     CheckSent(machine, message);
-    const std::pair<std::string, std::string> way{message.from().instance(),
-                                                  message.to().instance()};
-    if (blocked_.contains(way) || random_.Chance(faults_.drop)) continue;
-    const int copies = random_.Chance(faults_.repeat) ? 2 : 1;
+    const std::pair<std::string, std::string> link{message.from().instance(),
+                                                   message.to().instance()};
+    if (blocked_.contains(link) || random_.Chance(faults_.drop)) continue;
+    const int copies = random_.Chance(faults_.duplicate) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       const std::int64_t bound = random_.Chance(faults_.long_delay) ? 800 : 25;
       const auto delay = Milliseconds(static_cast<std::int64_t>(
@@ -315,17 +318,19 @@
   if (vote) {
     const auto [found, is_new] = votes_.insert({{from, message.term()}, *vote});
     if (!is_new && found->second != *vote) {
-      Violate(fmt::format("{} voted twice in term {}", ToString(from),
-                          message.term()));
+      ReportViolation(fmt::format("{} voted twice in term {}", ToString(from),
+                                  message.term()));
     }
   }
-  // Messages of founding and pre-votes tell no term that binds the sender.
+  // Hellos and pre-votes don't commit the sender to a term.
   if (message.has_hello() || message.has_hello_reply()) return;
   if (message.has_pre_vote()) return;
-  if (message.term() < machine.term_told) {
-    Violate(fmt::format("the term of {} went back", ToString(from)));
+  if (message.term() < machine.highest_sent_term) {
+    ReportViolation(
+        fmt::format("{} sent a lower term than before", ToString(from)));
   }
-  machine.term_told = std::max(machine.term_told, message.term());
+  machine.highest_sent_term =
+      std::max(machine.highest_sent_term, message.term());
 }
 
 void Simulation::Deliver() {
@@ -375,8 +380,8 @@
       const std::string error =
           ErrorText([&] { return Persist(batch, *process.log); });
       if (!error.empty()) {
-        Violate(fmt::format("{} can't write a batch: {}",
-                            ToString(process.raft->replica()), error));
+        ReportViolation(fmt::format("{} cannot write a batch: {}",
+                                    ToString(process.raft->replica()), error));
         return;
       }
       process.writing = true;
@@ -403,13 +408,14 @@
 void Simulation::Apply(const std::string& name, const LogEntry& entry) {
   Process& process = *machines_[name]->process;
   if (entry.index != process.applied + 1) {
-    Violate(fmt::format("{} skipped from entry {} to {}", name, process.applied,
-                        entry.index));
+    ReportViolation(fmt::format("{} applied entry {} followed by {}", name,
+                                process.applied, entry.index));
   }
   process.applied = entry.index;
   if (entry.index <= committed_.size()) {
     if (committed_[entry.index - 1] != entry) {
-      Violate(fmt::format("{} applied another entry {}", name, entry.index));
+      ReportViolation(fmt::format("{} applied a different entry at index {}",
+                                  name, entry.index));
     }
   } else {
     committed_.push_back(entry);
@@ -425,17 +431,18 @@
   const auto [found, is_new] = leaders_.insert({raft.term(), raft.replica()});
   if (!is_new) {
     if (found->second != raft.replica()) {
-      Violate(fmt::format("two leaders in term {}", raft.term()));
+      ReportViolation(fmt::format("two leaders in term {}", raft.term()));
     }
     return;
   }
-  // Leader completeness, for what was committed in earlier terms.
+  // Leader completeness: a leader has all entries committed in earlier terms.
   if (committed_.empty() || committed_.back().term >= raft.term()) return;
   for (const LogEntry& entry : committed_) {
     if (entry.index < raft.first_kept_index()) continue;
     if (raft.TermAt(entry.index) != entry.term) {
-      Violate(fmt::format("the leader of term {} lacks committed entry {}",
-                          raft.term(), entry.index));
+      ReportViolation(
+          fmt::format("the leader of term {} lacks committed entry {}",
+                      raft.term(), entry.index));
       return;
     }
   }
@@ -454,9 +461,9 @@
            index >= first; --index) {
         const bool same = raft_a.TermAt(index) == raft_b.TermAt(index);
         if (must_match && !same) {
-          Violate(
-              fmt::format("logs of {} and {} differ at {} below an entry "
-                          "they share",
+          ReportViolation(
+              fmt::format("logs of {} and {} differ at index {} before "
+                          "a matching entry",
                           name_a, name_b, index));
           return;
         }
@@ -469,7 +476,7 @@
 void Simulation::CheckHistories() {
   for (const auto& [key, history] : histories_) {
     if (!IsLinearizable(history)) {
-      Violate(
+      ReportViolation(
           fmt::format("the history of register {} is not linearizable", key));
     }
   }
@@ -498,7 +505,7 @@
 }
 
 void Simulation::StartOperation(Client& client) {
-  // Any instance that takes itself for the leader, also a deposed one.
+  // Any instance that considers itself the leader, including a deposed one.
   std::vector<std::string> leaders;
   for (const auto& [name, machine] : machines_) {
     if (machine->process &&
@@ -510,7 +517,7 @@
   client.machine = leaders[random_.Below(leaders.size())];
   Machine& machine = *machines_[client.machine];
   Process& process = *machine.process;
-  client.life = process.life;
+  client.process_id = process.id;
   client.key = static_cast<int>(random_.Below(kRegisters));
   client.deadline = now_ + kClientTimeout;
   client.read = 0;
@@ -550,7 +557,7 @@
   for (Client& client : clients_) {
     if (!client.waiting || client.index != entry.index) continue;
     if (client.machine != name ||
-        client.life != machines_[name]->process->life) {
+        client.process_id != machines_[name]->process->id) {
       continue;
     }
     client.waiting = false;
--- a/tests/consensus/simulation.h
+++ b/tests/consensus/simulation.h
@@ -1,7 +1,7 @@
-// A replicated register service in virtual time: Raft on file logs, a network
-// that loses, delays, repeats and reorders messages, processes that crash with
-// unsynced data lost, clocks that jump, disks that fill up, machines that are
-// lost for good and replaced. All chance comes from one seed.
+// Simulates a replicated register service in virtual time: Raft on file logs, a
+// network that drops, delays, duplicates and reorders messages, processes that
+// crash and lose unsynced data, clocks that jump, disks that fill up, machines
+// that are permanently lost and replaced. Deterministic for a given seed.
 #ifndef TESTS_CONSENSUS_SIMULATION_H_
 #define TESTS_CONSENSUS_SIMULATION_H_
 
@@ -23,7 +23,7 @@
 
 namespace cassiausher {
 
-/// What happened in a run, to see that the faults were really caused.
+/// Events of a run, to verify that the faults actually occurred.
 struct SimulationCounts {
   std::uint64_t elections = 0;
   std::uint64_t committed = 0;
@@ -39,17 +39,18 @@
  public:
   explicit Simulation(std::uint64_t seed);
 
-  /// Runs with faults, then without, and returns the first violation or "".
+  /// Runs with faults, then without. Returns the first violation, or "".
   std::string Run();
   const SimulationCounts& counts() const { return counts_; }
 
  private:
-  /// A random mix per seed finds more than all faults at once.
+  /// Probabilities of the faults. A random subset per seed finds more faults in
+  /// the code than all of them at once.
   struct Faults {
     double drop = 0;
-    double repeat = 0;
+    double duplicate = 0;
     double long_delay = 0;
-    double partition = 0;  ///< Per step, like the following.
+    double partition = 0;  ///< This and the following are per step.
     double heal = 0;
     double crash = 0;
     double restart = 0;
@@ -58,8 +59,8 @@
     double transfer = 0;
     double slow_sync = 0;
     bool replacement = false;
-    /// The leader replaces wiped voters without an order.
-    bool automatic = false;
+    /// The leader replaces voters with an empty disk by itself.
+    bool automatic_replacement = false;
   };
   struct Process {
     std::unique_ptr<FileLog> log;
@@ -70,19 +71,19 @@
     std::deque<RaftOutput> batches;
     bool writing = false;
     Time write_ends;
-    std::uint64_t life = 0;
+    std::uint64_t id = 0;
   };
   struct Machine {
     FaultDisk disk;
     std::unique_ptr<Process> process;
     Duration clock{0};
     std::uint64_t new_storage_id = 0;
-    Term term_told = 0;
+    Term highest_sent_term = 0;
   };
   struct Client {
     bool waiting = false;
     std::string machine;
-    std::uint64_t life = 0;
+    std::uint64_t process_id = 0;
     std::size_t operation = 0;
     int key = 0;
     LogIndex index = 0;
@@ -92,9 +93,11 @@
   };
 
   void Step();
-  void CauseFaults();
+  void InjectFaults();
   void Heal();
-  bool Settled();
+  /// True if the replacement is complete and all voters have applied the log up
+  /// to an entry of the current leader.
+  bool HasConverged();
   void AddMachine(const std::string& name);
   void Start(const std::string& name);
   void Crash(const std::string& name);
@@ -118,7 +121,7 @@
 
   std::string Leader() const;
   Time LocalTime(const Machine& machine) const { return now_ + machine.clock; }
-  void Violate(const std::string& what);
+  void ReportViolation(const std::string& what);
 
   Random random_;
   Faults faults_;
@@ -127,9 +130,9 @@
   std::multimap<Time, proto::RaftMessage> network_;
   std::set<std::pair<std::string, std::string>> blocked_;
   std::uint64_t next_storage_ = 100;
-  std::uint64_t next_life_ = 1;
+  std::uint64_t next_process_id_ = 1;
 
-  std::optional<std::pair<ReplicaId, std::string>> replacing_;
+  std::optional<std::pair<ReplicaId, std::string>> pending_replacement_;
   int losses_left_ = 0;
 
   std::vector<LogEntry> committed_;
