--- a/servers/ledger/ledger.cc
+++ b/servers/ledger/ledger.cc
@@ -1,4 +1,4 @@
-// State transitions of at-most-once records.
+// State transitions of the idempotency records.
 #include "servers/ledger/ledger.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace {
 
 std::size_t TextBytes(const LedgerClaim& claim) {
-  // The account and key are also in the map's key.
+  // Counted twice: account and key are also stored in the key of the map.
   return 2 * (claim.key.account.value().size() + claim.key.key.value().size()) +
          claim.instance.value().size() + claim.request.value().size();
 }
@@ -27,7 +27,7 @@
   if (const auto* result = std::get_if<LedgerResult>(&entry)) {
     Finish(*result, limits);
   } else if (const auto* lost = std::get_if<LedgerInstanceLost>(&entry)) {
-    LoseInstance(*lost);
+    MarkInstanceLost(*lost);
   } else if (const auto* expiry = std::get_if<LedgerExpiry>(&entry)) {
     Expire(*expiry, limits);
   }
@@ -57,10 +57,10 @@
 
 LedgerAnswer Ledger::Claim(const LedgerClaim& claim,
                            const LedgerLimits& limits) {
-  // A claim that was on its way when its instance died must not hold the key.
+  // A claim that was in flight when its instance died must not hold the key.
   if (IsLost(claim)) return ClaimRefused{LedgerRefusal::kReleased};
   const auto found = records_.find(claim.key);
-  if (found != records_.end()) return ClaimAgain(claim, &found->second);
+  if (found != records_.end()) return ClaimExisting(claim, &found->second);
   if (records_.size() >= limits.records) {
     return ClaimRefused{LedgerRefusal::kLedgerFull};
   }
@@ -68,7 +68,7 @@
   return RunRequest();
 }
 
-LedgerAnswer Ledger::ClaimAgain(const LedgerClaim& claim, Slot* slot) {
+LedgerAnswer Ledger::ClaimExisting(const LedgerClaim& claim, Slot* slot) {
   LedgerRecord& record = slot->record;
   const auto& released = record.released;
   if (std::find(released.begin(), released.end(), claim.request) !=
@@ -86,7 +86,7 @@
   }
   switch (record.state) {
     case RecordState::kClaimed:
-      // The entry instance sent its claim twice; it hasn't run it yet.
+      // A duplicate claim of the same request, which has not run yet.
       if (record.claim == claim) return RunRequest();
       return AttachToRequest{record.claim.instance, record.claim.incarnation,
                              record.claim.request};
@@ -102,8 +102,8 @@
 void Ledger::Finish(const LedgerResult& result, const LedgerLimits& limits) {
   const auto found = records_.find(result.key);
   if (found == records_.end()) {
-    // A release may overtake its claim. Without this record the claim would
-    // hold the key although nobody runs the request.
+    // A release can be applied before its claim. Without this record the later
+    // claim would hold the key although no instance runs the request.
     if (result.state != RecordState::kNotRun) return;
     if (records_.size() >= limits.records) return;
     LedgerClaim claim;
@@ -137,7 +137,7 @@
   }
 }
 
-void Ledger::LoseInstance(const LedgerInstanceLost& lost) {
+void Ledger::MarkInstanceLost(const LedgerInstanceLost& lost) {
   LostInstance& known = lost_[lost.instance];
   known.incarnation = std::max(known.incarnation, lost.incarnation);
   known.stamp = clock_;
@@ -154,8 +154,8 @@
     const LedgerRecord& record = oldest->second->record;
     if (clock_ - record.stamp < limits.retention) break;
     ++oldest;
-    // A request in progress keeps its claim; only its result or the death of
-    // its instance ends it.
+    // A request in progress keeps its claim until its result or the loss of its
+    // instance is applied.
     if (record.state == RecordState::kClaimed) continue;
     Erase(records_.find(record.claim.key));
   }
--- a/servers/ledger/ledger_messages.cc
+++ b/servers/ledger/ledger_messages.cc
@@ -1,4 +1,4 @@
-// Conversions between ledger values and their protobuf messages.
+// Conversions between ledger types and their protobuf messages.
 #include "servers/ledger/ledger_messages.h"
 
 #include <set>
--- a/servers/ledger/ledger_messages.h
+++ b/servers/ledger/ledger_messages.h
@@ -1,4 +1,4 @@
-// Protobuf forms of ledger entries, answers and snapshots.
+// Conversions of ledger entries, answers and snapshots to and from protobuf.
 #ifndef SERVERS_LEDGER_LEDGER_MESSAGES_H_
 #define SERVERS_LEDGER_LEDGER_MESSAGES_H_
 
@@ -16,19 +16,19 @@
 }  // namespace proto
 
 void ToProto(const LedgerEntry& entry, proto::LedgerEntry* message);
-/// Nothing if the message has no valid entry.
+/// Returns nullopt if the message contains no valid entry.
 std::optional<LedgerEntry> FromProto(const proto::LedgerEntry& message);
 
 void ToProto(const Ledger& ledger, proto::LedgerSnapshot* message);
-/// Returns false, and leaves the ledger as it is, if the message is invalid.
+/// Returns false and leaves the ledger unchanged if the message is invalid.
 bool FromProto(const proto::LedgerSnapshot& message, Ledger* ledger);
 
-/// For LedgerRequest.command: the entry that an instance asks the leader to
-/// commit.
+/// Encoding of LedgerRequest.command: the entry that an instance asks the
+/// leader to commit.
 std::string EncodeLedgerEntry(const LedgerEntry& entry);
 std::optional<LedgerEntry> DecodeLedgerEntry(std::string_view bytes);
 
-/// For LedgerReply.result.
+/// Encoding of LedgerReply.result.
 std::string EncodeLedgerAnswer(const LedgerAnswer& answer);
 std::optional<LedgerAnswer> DecodeLedgerAnswer(std::string_view bytes);
 
