--- a/tests/ledger/ledger_test.cc
+++ b/tests/ledger/ledger_test.cc
@@ -1,5 +1,5 @@
-// Guards at-most-once execution against deaths, repeated keys, late and
-// repeated entries.
+// Guards at-most-once execution against instance failures, reused keys, and
+// entries that are delayed or duplicated.
 #include "servers/ledger/ledger.h"
 
 #include <rapidcheck.h>
@@ -12,7 +12,7 @@
 #include "core/random.h"
 #include "servers/ledger/ledger_messages.h"
 
-// CppUTest last: its macros clash with the standard library's headers.
+// CppUTest last: its macros conflict with standard library headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace cassiausher;  // NOLINT: test file
@@ -43,8 +43,8 @@
   CHECK(std::get<Expected>(answer) == expected);
 }
 
-/// Entry instances and a log that takes their entries in any order, twice or
-/// late. Counts how often each key was executed.
+/// Simulates entry instances whose log entries are delayed, reordered and
+/// duplicated. Fails if a key is executed more than once.
 class LedgerSimulation {
  public:
   explicit LedgerSimulation(std::uint64_t seed) : random_(seed) {}
@@ -54,10 +54,10 @@
       switch (random_.Below(10)) {
         case 0:
         case 1:
-          Arrive();
+          StartRequest();
           break;
         case 2:
-          GiveUpOrFinish();
+          EndRandomRequest();
           break;
         case 3:
           if (random_.Chance(0.2)) LoseInstance();
@@ -67,7 +67,8 @@
       }
     }
     while (!in_flight_.empty()) Commit();
-    // Without a death or an open request, no key may stay claimed.
+    // Once all requests have ended and all instances are lost, no key may stay
+    // claimed.
     for (auto& [id, request] : requests_) Finish(id, &request);
     for (int i = 0; i < kInstances; ++i) Lose(i, true);
     while (!in_flight_.empty()) Commit();
@@ -101,11 +102,11 @@
     for (int i = 0; i < copies; ++i) in_flight_.push_back(entry);
   }
 
-  bool Alive(const Request& request) const {
+  bool IsAlive(const Request& request) const {
     return instances_[request.instance].process == request.process;
   }
 
-  void Arrive() {
+  void StartRequest() {
     Request request;
     request.instance = static_cast<int>(random_.Below(kInstances));
     request.process = instances_[request.instance].process;
@@ -119,7 +120,7 @@
     requests_[id] = request;
   }
 
-  void GiveUpOrFinish() {
+  void EndRandomRequest() {
     if (requests_.empty()) return;
     auto picked = requests_.begin();
     std::advance(picked, random_.Below(requests_.size()));
@@ -127,7 +128,7 @@
   }
 
   void Finish(const RequestId& id, Request* request) {
-    if (!Alive(*request) || request->finished || request->released) return;
+    if (!IsAlive(*request) || request->finished || request->released) return;
     LedgerResult result{request->key, id, RecordState::kNotRun, {}};
     if (request->started) {
       request->finished = true;
@@ -144,7 +145,8 @@
     Lose(index, random_.Chance(0.7));
   }
 
-  /// Membership may be wrong: then the process goes on under a new number.
+  /// Declares the current incarnation dead. If membership is wrong (`is_dead`
+  /// is false), the process continues under a new incarnation.
   void Lose(int index, bool is_dead) {
     Instance& instance = instances_[index];
     Send(LedgerInstanceLost{NameOf(index), Incarnation(instance.incarnation)});
@@ -166,7 +168,7 @@
     }
   }
 
-  /// Replaces the ledger by what its snapshot holds.
+  /// Restores the ledger from its own snapshot.
   void Restart() {
     std::vector<LedgerRecord> records;
     for (const auto* record : ledger_.RecordsByAge()) {
@@ -185,9 +187,9 @@
     }
     if (std::holds_alternative<OutcomeUnknown>(answer)) ++unknown;
     if (!std::holds_alternative<RunRequest>(answer)) return;
-    if (!Alive(*request) || request->released || request->started) return;
+    if (!IsAlive(*request) || request->released || request->started) return;
     request->started = true;
-    // A second execution of the key is the failure this test exists for.
+    // Fails on a second execution of the key.
     RC_ASSERT(answers_.emplace(request->key, request->body).second);
     ++executed;
   }
@@ -202,7 +204,7 @@
   Instance instances_[kInstances];
   std::map<RequestId, Request> requests_;
   std::vector<LedgerEntry> in_flight_;
-  /// Body of the one execution of each key.
+  /// Response body of the only execution of each key.
   std::map<LedgerKey, std::string> answers_;
 };
 
@@ -210,7 +212,7 @@
 
 TEST_GROUP(Ledger){};
 
-TEST(Ledger, KeyRunsAtMostOnceUnderDeathsAndRepeatedEntries) {
+TEST(Ledger, KeyRunsAtMostOnceUnderInstanceLossesAndDuplicateEntries) {
   int executed = 0;
   int replayed = 0;
   int unknown = 0;
@@ -231,10 +233,10 @@
   CHECK(unknown > 1000);
 }
 
-TEST(Ledger, AnswersFollowTheStateOfTheRecord) {
+TEST(Ledger, ClaimIsAnsweredByTheStateOfTheRecord) {
   Ledger ledger;
   CheckAnswer(RunRequest(), ledger.Apply(MakeClaim("k", "r1"), kLimits));
-  // The entry instance repeats its claim after a lost reply.
+  // The entry instance retries its claim after a lost reply.
   CheckAnswer(RunRequest(), ledger.Apply(MakeClaim("k", "r1"), kLimits));
   CheckAnswer(
       AttachToRequest{InstanceId("east-1"), Incarnation(1), RequestId("r1")},
@@ -245,27 +247,27 @@
   ledger.Apply(MakeResult("k", "r1", RecordState::kCompleted, "yes"), kLimits);
   CheckAnswer(ReplayAnswer{{200, "text/plain", "yes", true}},
               ledger.Apply(MakeClaim("k", "r4"), kLimits));
-  // Another account's key is another key.
+  // Keys are scoped to the account.
   LedgerClaim other = MakeClaim("k", "r5", 2);
   other.key.account = AccountId("b");
   CheckAnswer(RunRequest(), ledger.Apply(other, kLimits));
 }
 
-// A caller that was told not_run:true must be able to use its key again.
-TEST(Ledger, ReleasedKeyRunsAgainButNotForTheReleasedRequest) {
+// Guards against a caller that received not_run:true and cannot reuse its key.
+TEST(Ledger, ReleasedKeyCanBeClaimedExceptByTheReleasedRequest) {
   Ledger ledger;
   ledger.Apply(MakeClaim("k", "r1"), kLimits);
   ledger.Apply(MakeResult("k", "r1", RecordState::kNotRun), kLimits);
   CheckAnswer(ClaimRefused{LedgerRefusal::kReleased},
               ledger.Apply(MakeClaim("k", "r1"), kLimits));
   CheckAnswer(RunRequest(), ledger.Apply(MakeClaim("k", "r2", 2), kLimits));
-  // The release overtakes its claim.
+  // The release is applied before its claim.
   ledger.Apply(MakeResult("l", "r3", RecordState::kNotRun), kLimits);
   CheckAnswer(ClaimRefused{LedgerRefusal::kReleased},
               ledger.Apply(MakeClaim("l", "r3"), kLimits));
 }
 
-TEST(Ledger, DeathMakesTheOutcomeUnknownUntilTheResultArrives) {
+TEST(Ledger, InstanceLossMakesTheOutcomeUnknownUntilTheResultArrives) {
   Ledger ledger;
   ledger.Apply(MakeClaim("k", "r1"), kLimits);
   CHECK(ledger.ClaimHolders().at(InstanceId("east-1")) == Incarnation(1));
@@ -274,18 +276,18 @@
   CHECK(ledger.ClaimHolders().empty());
   CheckAnswer(OutcomeUnknown(),
               ledger.Apply(MakeClaim("k", "r2", 1, "west-1"), kLimits));
-  // A claim that was on its way when the instance died must not hold its key.
+  // A claim that was in flight when the instance died must not hold its key.
   CheckAnswer(ClaimRefused{LedgerRefusal::kReleased},
               ledger.Apply(MakeClaim("l", "r3"), kLimits));
   CheckAnswer(RunRequest(),
               ledger.Apply(MakeClaim("l", "r4", 1, "west-1"), kLimits));
-  // The instance wasn't dead after all.
+  // The instance was alive after all.
   ledger.Apply(MakeResult("k", "r1", RecordState::kCompleted, "x"), kLimits);
   CheckAnswer(ReplayAnswer{{200, "text/plain", "x", true}},
               ledger.Apply(MakeClaim("k", "r5", 1, "west-1"), kLimits));
 }
 
-TEST(Ledger, FinishedRecordsExpireAndClaimsDoNot) {
+TEST(Ledger, CompletedRecordsExpireButClaimsDoNot) {
   Ledger ledger;
   const LedgerLimits limits{.retention = Seconds(60)};
   ledger.Apply(MakeClaim("open", "r1"), limits);
@@ -294,7 +296,8 @@
   ledger.Apply(MakeResult("done", "r2", RecordState::kCompleted, "x"), limits);
   ledger.Apply(LedgerExpiry{Seconds(59)}, limits);
   CHECK(ledger.Find(Key("done")) != nullptr);
-  // A negative time would bring expired keys back within the retention.
+  // A negative duration must not turn the clock back, which would extend the
+  // retention of the records.
   ledger.Apply(LedgerExpiry{Seconds(-30)}, limits);
   ledger.Apply(LedgerExpiry{Seconds(1)}, limits);
   CHECK(ledger.Find(Key("done")) == nullptr);
@@ -321,7 +324,7 @@
   CHECK(ledger.answers_bytes() <= 5000);
   CHECK(ledger.MemoryBytes() <=
         100 * (Ledger::kRecordOverheadBytes + 100) + 5000);
-  // The status of an answer that isn't kept is still known.
+  // The status is recorded even if the response body is not stored.
   const auto replay =
       std::get<ReplayAnswer>(ledger.Apply(MakeClaim("1001", "x"), limits));
   LONGS_EQUAL(200, replay.answer.status);
