--- a/servers/entry/answer_estimate.h
+++ b/servers/entry/answer_estimate.h
@@ -1,5 +1,6 @@
-// Expected length of answers. Callers' own estimates are right at the median
-// but often far off, so they are drawn towards what was seen.
+// Estimates how many tokens an answer will have. Callers' own estimates are
+// right at the median but often far off, so they are shrunk towards the
+// observed mean.
 #ifndef SERVERS_ENTRY_ANSWER_ESTIMATE_H_
 #define SERVERS_ENTRY_ANSWER_ESTIMATE_H_
 
@@ -9,23 +10,24 @@
 
 namespace cassiausher {
 
-/// For the answers of one service. Not thread safe.
+/// Answers of one service. Not thread safe.
 class AnswerEstimate {
  public:
-  /// An answer came whole, of which `expected` was expected.
-  void Observe(Tokens answer, Tokens expected);
+  /// Records a complete answer of `length`, which was estimated as `expected`.
+  void Observe(Tokens length, Tokens expected);
 
-  /// Expected length, given what the caller says; 0 says nothing.
-  Tokens Estimate(Tokens told) const;
+  /// Expected answer length, given the caller's own estimate; 0 if the caller
+  /// gave none.
+  Tokens Estimate(Tokens caller_estimate) const;
 
-  /// Standard deviation of answers from what was expected; null before enough
-  /// of them were seen.
+  /// Root mean square of the estimation error; null until enough answers have
+  /// been observed.
   std::optional<Tokens> StandardDeviation() const;
 
  private:
-  /// Mean of the answers seen, the latest weighing most; 0 before the first.
+  /// Exponentially weighted mean length in tokens; 0 before the first answer.
   double mean_ = 0;
-  /// Mean of squared differences, in tokens squared.
+  /// Exponentially weighted mean of squared errors, in tokens squared.
   double squared_error_ = 0;
   int observed_ = 0;
 };
--- a/servers/entry/endpoint_pool.cc
+++ b/servers/entry/endpoint_pool.cc
@@ -84,23 +84,23 @@
   }
 }
 
-EndpointPool::Entry::Entry(const EndpointRecord& heard, std::uint64_t seed)
-    : record(heard), breaker(BreakerOptions(seed)) {}
+EndpointPool::Entry::Entry(const EndpointRecord& update, std::uint64_t seed)
+    : record(update), breaker(BreakerOptions(seed)) {}
 
 EndpointPool::EndpointPool(EndpointPoolOptions options)
     : options_(std::move(options)), random_(options_.random_seed) {}
 
-void EndpointPool::Merge(const EndpointRecord& heard, Time now) {
-  const std::uint64_t seed = std::hash<std::string>{}(heard.id.value());
+void EndpointPool::Merge(const EndpointRecord& update, Time now) {
+  const std::uint64_t seed = std::hash<std::string>{}(update.id.value());
   const auto [found, added] =
-      entries_.try_emplace(heard.id, Entry(heard, seed));
+      entries_.try_emplace(update.id, Entry(update, seed));
   Entry& entry = found->second;
   if (added) {
     entry.changed_at = now;
     return;
   }
   const Incarnation born = entry.record.born;
-  if (!cassiausher::Merge(heard, &entry.record)) return;
+  if (!cassiausher::Merge(update, &entry.record)) return;
   entry.changed_at = now;
   // A new incarnation has nothing of what was observed before.
   if (entry.record.born == born) return;
@@ -133,14 +133,14 @@
            now - item.second.changed_at >= options_.tombstone_lifetime;
   });
   std::erase_if(silent_, [&](const auto& item) {
-    return now - item.second.said_at >= options_.tombstone_lifetime;
+    return now - item.second.reported_at >= options_.tombstone_lifetime;
   });
 }
 
 bool EndpointPool::IsSilent(const EndpointId& id, Time now) const {
   bool said = false;
   for (const auto& [control, view] : silent_) {
-    if (now - view.said_at >= options_.silence_lifetime) continue;
+    if (now - view.reported_at >= options_.silence_lifetime) continue;
     // Some control instance still hears of it.
     if (!view.endpoints.contains(id)) return false;
     said = true;
@@ -148,29 +148,29 @@
   return said;
 }
 
-Tokens EndpointPool::TokensToRead(const WorkSpec& work) {
-  if (!work.prompt_is_read) return work.prompt;
+Tokens EndpointPool::PrefillCost(const WorkSpec& work) {
+  if (!work.prompt_is_prefilled) return work.prompt;
   return Tokens(work.prompt.value() / kDecodeShare);
 }
 
-double EndpointPool::Memory(const Entry& entry, Time now) const {
+double EndpointPool::ObservationDecay(const Entry& entry, Time now) const {
   const double age = ToSeconds(now - entry.observed_at);
-  return std::exp2(-age / ToSeconds(options_.memory_half_life));
+  return std::exp2(-age / ToSeconds(options_.observation_half_life));
 }
 
 double EndpointPool::UnitCost(const Entry& entry, const WorkSpec& work,
                               Time now) const {
   const double assumed = DefaultUnitCost(entry.record, work);
   if (entry.unit_cost_us <= 0) return assumed;
-  const double memory = Memory(entry, now);
+  const double memory = ObservationDecay(entry, now);
   return memory * entry.unit_cost_us + (1 - memory) * assumed;
 }
 
-Duration EndpointPool::Expected(const Entry& entry, const WorkSpec& work,
-                                Time now) const {
+Duration EndpointPool::ExpectedTime(const Entry& entry, const WorkSpec& work,
+                                    Time now) const {
   const double unit = UnitCost(entry, work, now);
   if (work.prompt.value() > 0) {
-    Tokens tokens = entry.in_flight_tokens + TokensToRead(work);
+    Tokens tokens = entry.in_flight_tokens + PrefillCost(work);
     // What others read at a prefill runner comes before this.
     if (entry.record.role == EndpointRole::kPrefill) {
       tokens += OtherLoad(entry, now).memory.Now();
@@ -185,7 +185,7 @@
 
 double EndpointPool::Score(const Entry& entry, const WorkSpec& work,
                            Time now) const {
-  double score = static_cast<double>(Expected(entry, work, now).count());
+  double score = static_cast<double>(ExpectedTime(entry, work, now).count());
   if (entry.record.data_centre != options_.data_centre) {
     score += static_cast<double>(options_.remote_penalty.count());
   }
@@ -193,7 +193,7 @@
   score += kOccupancyUs * occupancy;
   const bool full = occupancy > work.full_occupancy || now < entry.full_until;
   if (full) score += kFullUs;
-  score += Memory(entry, now) * entry.failure_share *
+  score += ObservationDecay(entry, now) * entry.failure_share *
            static_cast<double>(options_.failure_penalty.count());
   if (IsSilent(entry.record.id, now)) score += kLastResortUs;
   const CircuitState circuit = entry.breaker.state(now);
@@ -205,7 +205,7 @@
   return score;
 }
 
-const EndpointPool::Entry* EndpointPool::Draw(
+const EndpointPool::Entry* EndpointPool::BetterOfTwo(
     const std::vector<const Entry*>& candidates, const WorkSpec& work,
     Time now) {
   const std::size_t first = random_.Below(candidates.size());
@@ -220,7 +220,7 @@
 std::optional<Placement> EndpointPool::Pick(const WorkSpec& work, Time now) {
   const Entry* best = nullptr;
   double best_score = std::numeric_limits<double>::max();
-  std::vector<const Entry*> with_room;
+  std::vector<const Entry*> usable;
   for (const auto& [id, entry] : entries_) {
     if (entry.record.service != work.service) continue;
     if (entry.record.role != work.role) continue;
@@ -228,17 +228,17 @@
     if (work.excluded.contains(id)) continue;
     if (now < entry.misplaced_until || now < entry.changing_until) continue;
     const double score = Score(entry, work, now);
-    if (score < kFullUs) with_room.push_back(&entry);
+    if (score < kFullUs) usable.push_back(&entry);
     if (score >= best_score) continue;
     best = &entry;
     best_score = score;
   }
   if (best == nullptr) return std::nullopt;
-  for (const Entry* entry : with_room) {
+  for (const Entry* entry : usable) {
     if (entry->record.id == work.reserved_at) return Place(*entry, work, now);
   }
   const bool is_model = work.role != EndpointRole::kPlain;
-  if (is_model && with_room.size() > 2) best = Draw(with_room, work, now);
+  if (is_model && usable.size() > 2) best = BetterOfTwo(usable, work, now);
   return Place(*best, work, now);
 }
 
@@ -246,7 +246,7 @@
                               Time now) const {
   double occupancy = Occupancy(entry, work, now);
   if (now < entry.full_until) occupancy = std::max(occupancy, kOverFull);
-  return {entry.record, Expected(entry, work, now), occupancy};
+  return {entry.record, ExpectedTime(entry, work, now), occupancy};
 }
 
 EndpointLoad EndpointPool::OtherLoad(const Entry& entry, Time now) const {
@@ -304,7 +304,7 @@
   // Counts the trial of a half-open circuit.
   found->second.breaker.Allow(now);
   ++found->second.in_flight;
-  found->second.in_flight_tokens += TokensToRead(work);
+  found->second.in_flight_tokens += PrefillCost(work);
   found->second.memory += work.memory;
   if (work.role != EndpointRole::kPlain && work.reserved_at != id) {
     AddLoads({{id, {1, work.memory}}}, &placed_);
@@ -344,7 +344,7 @@
   Entry& entry = found->second;
   const Tokens queued = entry.in_flight_tokens;
   --entry.in_flight;
-  entry.in_flight_tokens -= TokensToRead(work);
+  entry.in_flight_tokens -= PrefillCost(work);
   entry.memory -= work.memory;
   if (outcome == WorkOutcome::kAbandoned) return;
   if (outcome == WorkOutcome::kMisplaced) {
@@ -352,7 +352,7 @@
     return;
   }
   if (outcome == WorkOutcome::kRejected) entry.full_until = now + kFullPause;
-  const double memory = Memory(entry, now);
+  const double memory = ObservationDecay(entry, now);
   entry.failure_share =
       (1 - kObservationWeight) * memory * entry.failure_share +
       kObservationWeight * FailureWeight(outcome);
@@ -361,7 +361,7 @@
   } else {
     entry.breaker.OnSuccess(now);
   }
-  if (outcome == WorkOutcome::kDone && !work.prompt_is_read) {
+  if (outcome == WorkOutcome::kDone && !work.prompt_is_prefilled) {
     const double units =
         static_cast<double>(std::max<std::int64_t>(1, queued.value()));
     const double sample = static_cast<double>(took.count()) / units;
--- a/servers/entry/endpoint_pool.h
+++ b/servers/entry/endpoint_pool.h
@@ -1,5 +1,6 @@
-// The endpoints that one entry instance can send requests to: what the control
-// instances say of them, what this instance sent and how it went.
+// Endpoints that one entry instance can send requests to: their records from
+// the control instances, the load on them, and the outcomes that this instance
+// observed.
 #ifndef SERVERS_ENTRY_ENDPOINT_POOL_H_
 #define SERVERS_ENTRY_ENDPOINT_POOL_H_
 
@@ -23,47 +24,47 @@
 
 struct EndpointPoolOptions {
   DataCentreId data_centre;
-  /// Cost of leaving the data centre, as waiting time: the round trip and the
-  /// bytes that the operator pays for.
+  /// Cost of using another data centre, as latency: the round trip and the
+  /// traffic that the operator pays for.
   Duration remote_penalty = Milliseconds(8);
-  /// Waiting time that a certain failure is worth.
+  /// Cost of a request that is sure to fail, as latency.
   Duration failure_penalty = Milliseconds(1000);
-  /// Half-life of what was observed of an endpoint.
-  Duration memory_half_life = Seconds(3);
-  /// A control instance's word on silent endpoints counts this long.
+  /// Half-life of observed costs and failures of an endpoint.
+  Duration observation_half_life = Seconds(3);
+  /// A control instance's report of silent endpoints, which have sent it no
+  /// heartbeat lately, is valid for this long.
   Duration silence_lifetime = Seconds(3);
-  /// A departed endpoint is remembered this long, so that a control instance
-  /// that lost its registry can't bring it back.
+  /// A departed endpoint is kept this long, so that a stale record from a
+  /// control instance that lost its registry can't restore it.
   Duration tombstone_lifetime = Seconds(120);
   std::uint64_t random_seed = 1;
 };
 
-/// Forecast share of a runner's memory above which it counts as full, as long
-/// as nothing is known of how far answers differ from what is expected. Below
-/// 1, since a runner out of memory reads a request anew.
+/// Forecast share of a runner's KV memory above which it counts as full while
+/// the deviation of output lengths is unknown. Below 1, since a runner that
+/// runs out of memory has to prefill a request again.
 inline constexpr double kDefaultFullOccupancy = 0.84;
 
-/// Work that is placed on an endpoint.
+/// Requirements of a call that is to be placed on an endpoint.
 struct WorkSpec {
   ServiceId service;
-  /// Endpoints of another stage are left out.
+  /// Only endpoints with this role are considered.
   EndpointRole role = EndpointRole::kPlain;
-  /// Prompt of the request; 0 for plain services.
+  /// Prompt length; 0 for plain services.
   Tokens prompt{0};
-  /// The prompt was read elsewhere and its KV cache is fetched.
-  bool prompt_is_read = false;
-  /// KV memory that the request is expected to hold at its runner.
+  /// Another runner prefilled the prompt, and its KV cache is fetched.
+  bool prompt_is_prefilled = false;
+  /// KV memory that the request is expected to hold on its runner.
   MemoryForecast memory;
-  /// Memory of a runner; 0 if it doesn't bound what is placed.
+  /// KV memory of a runner; 0 for no limit.
   Tokens kv_capacity{0};
-  /// Share of the memory above which a runner is full.
+  /// Share of `kv_capacity` and of `slots` above which a runner is full.
   double full_occupancy = kDefaultFullOccupancy;
-  /// Requests that a runner runs at once; 0 if it doesn't bound what is placed.
+  /// Requests that a runner runs concurrently; 0 for no limit.
   int slots = 0;
-  /// Endpoints not to be used.
   std::set<EndpointId> excluded;
-  /// Used if it has room; empty for none. Memory is reserved there, which the
-  /// other instances know.
+  /// Runner whose memory was reserved for this request, which the other
+  /// instances already know; preferred if it has capacity. Empty for none.
   EndpointId reserved_at;
 };
 
@@ -71,12 +72,12 @@
   EndpointRecord endpoint;
   /// Expected time until the work is done, or until its first event.
   Duration expected{};
-  /// Share of the endpoint's KV memory that is in use with this work; 0 where
-  /// memory doesn't matter.
+  /// Share of the endpoint's KV memory that is in use with this work, or of its
+  /// slots if that is larger; 0 if neither is limited.
   double occupancy = 0;
 };
 
-/// Work in progress at an endpoint.
+/// Requests in progress or reserved at an endpoint.
 struct EndpointLoad {
   int requests = 0;
   MemoryForecast memory;
@@ -88,61 +89,66 @@
 
 enum class WorkOutcome {
   kDone,
-  kServerError,  ///< The endpoint answered that it failed.
+  kServerError,  ///< The endpoint responded with a server error.
   kUnreachable,  ///< No connection.
-  kBroken,       ///< No answer or half of one.
-  kMisplaced,    ///< Another endpoint has the address.
-  kRejected,     ///< The endpoint had no room.
-  kAbandoned,    ///< Given up here, for example since the caller left.
+  kBroken,       ///< No response or an incomplete one.
+  kMisplaced,    ///< Another endpoint now has the address.
+  kRejected,     ///< The endpoint had no free capacity.
+  kAbandoned,    ///< Cancelled here, for example as the caller disconnected.
 };
 
-/// Not thread safe. Times of an instance that doesn't see the whole load are
-/// corrected by what it observes.
+/// Not thread safe. An entry instance doesn't see the whole load of an
+/// endpoint, so expected times are corrected by observed ones.
 class EndpointPool {
  public:
   explicit EndpointPool(EndpointPoolOptions options);
 
-  void Merge(const EndpointRecord& heard, Time now);
-  /// Replaces what `control` said of silent endpoints.
+  /// Adds an endpoint, or updates it if `update` is newer than its record.
+  void Merge(const EndpointRecord& update, Time now);
+  /// Replaces the set of endpoints that `control` reports as silent.
   void SetSilent(const std::string& control, std::set<EndpointId> silent,
                  Time now);
-  /// A runner that changes its role takes no work until `until`.
+  /// The runner is changing its role and takes no work until `until`.
   void SetChanging(const EndpointId& id, Time until);
-  /// Replaces what the `others` other entry instances have in progress, as of
+  /// Replaces the combined load of the `others` other entry instances, as of
   /// `now`.
   void SetOtherLoads(EndpointLoads loads, int others, Time now);
-  /// Others placed this since.
+  /// Adds what other entry instances placed since SetOtherLoads().
   void AddOtherLoads(const EndpointLoads& placed);
-  /// What this instance has in progress.
+  /// Load that this instance has in progress or reserved.
   EndpointLoads OwnLoads() const;
-  /// What this instance placed on model runners since the last call.
+  /// Returns and clears the load that this instance placed on model runners
+  /// and that the others don't know yet.
   EndpointLoads TakePlaced() { return std::exchange(placed_, {}); }
+  /// Drops departed endpoints and reports of silent ones that are out of date.
   void Expire(Time now);
 
-  /// An endpoint with little expected time: for plain work the best, for work
-  /// of a model runner the better of two drawn at random, since what is known
-  /// of other instances' work is old and the best would get it all. Endpoints
-  /// that are silent or whose circuit is open come last. Null if there is none.
+  /// Picks the endpoint with the lowest score for plain work. For work of a
+  /// model runner, picks the better of two random ones (power of two choices):
+  /// loads of other instances are known late, so all instances would send their
+  /// work to the same best runner. Endpoints that are silent or whose circuit
+  /// is open come last. Null if there is none.
   std::optional<Placement> Pick(const WorkSpec& work, Time now);
 
   void OnStart(const EndpointId& id, const WorkSpec& work, Time now);
-  /// Counts a stream whose prompt is read meanwhile, so that no other takes the
-  /// room; ends with Release().
+  /// Reserves a decode runner's memory for a stream while its prompt is
+  /// prefilled, until Release(). `known_to_others`: the other instances have
+  /// counted it already.
   void Reserve(const EndpointId& id, const MemoryForecast& memory,
                bool known_to_others);
   void Release(const EndpointId& id, const MemoryForecast& memory);
-  /// The work in progress now holds `memory`, which replaces what `work` says.
+  /// Replaces the memory forecast of work in progress, here and in `work`.
   void OnProgress(const EndpointId& id, const MemoryForecast& memory,
                   WorkSpec* work);
-  /// `took` is the time to the answer, or to the first event of a stream.
+  /// `took` is the time to the response, or to the first event of a stream.
   void OnFinish(const EndpointId& id, const WorkSpec& work, WorkOutcome outcome,
                 Duration took, Time now);
 
-  /// Requests of this instance that wait for room.
+  /// Requests of this instance that wait for capacity.
   int waiting() const { return waiting_; }
   void ChangeWaiting(int difference) { waiting_ += difference; }
 
-  /// Age of what is known of other instances' work.
+  /// Time since the last SetOtherLoads().
   Duration LoadsAge(Time now) const { return now - other_loads_at_; }
 
   bool HasEndpoints() const { return !entries_.empty(); }
@@ -151,51 +157,56 @@
 
  private:
   struct Entry {
-    explicit Entry(const EndpointRecord& heard, std::uint64_t seed);
+    explicit Entry(const EndpointRecord& update, std::uint64_t seed);
 
     EndpointRecord record;
     Time changed_at{};
     int in_flight = 0;
-    /// Streams whose prompt is still being read.
+    /// Streams whose prompt is still being prefilled.
     int reserved = 0;
     Tokens in_flight_tokens{0};
-    /// Of work in flight and of reservations.
+    /// Sum over work in flight and reservations.
     MemoryForecast memory;
-    /// Another endpoint answered at the address; not used until then.
+    /// Another endpoint responded at the address; excluded until then.
     Time misplaced_until{};
-    /// Changes its role until then.
+    /// The runner is changing its role; excluded until then.
     Time changing_until{};
-    /// Had no room for a request; others are preferred until then.
+    /// Rejected a request for lack of capacity; counts as full until then.
     Time full_until{};
-    /// Observed microseconds for each prompt token, or for a request without
-    /// a prompt; 0 until observed.
+    /// Moving average of microseconds per prompt token, or per request of a
+    /// plain service; 0 until observed.
     double unit_cost_us = 0;
-    /// Weighted share of failed requests, between 0 and 1.
+    /// Moving average of failure weights, between 0 and 1.
     double failure_share = 0;
     Time observed_at{};
     CircuitBreaker breaker;
   };
 
-  static Tokens TokensToRead(const WorkSpec& work);
+  static Tokens PrefillCost(const WorkSpec& work);
   double UnitCost(const Entry& entry, const WorkSpec& work, Time now) const;
-  double Memory(const Entry& entry, Time now) const;
-  Duration Expected(const Entry& entry, const WorkSpec& work, Time now) const;
+  /// Weight of past observations, which halves with each half-life.
+  double ObservationDecay(const Entry& entry, Time now) const;
+  Duration ExpectedTime(const Entry& entry, const WorkSpec& work,
+                        Time now) const;
+  /// Expected time plus penalties, in microseconds; the lowest is the best.
   double Score(const Entry& entry, const WorkSpec& work, Time now) const;
   bool IsSilent(const EndpointId& id, Time now) const;
   double Occupancy(const Entry& entry, const WorkSpec& work, Time now) const;
   EndpointLoad OtherLoad(const Entry& entry, Time now) const;
   Placement Place(const Entry& entry, const WorkSpec& work, Time now) const;
-  const Entry* Draw(const std::vector<const Entry*>& candidates,
-                    const WorkSpec& work, Time now);
+  const Entry* BetterOfTwo(const std::vector<const Entry*>& candidates,
+                           const WorkSpec& work, Time now);
 
-  struct SilentView {
+  /// Endpoints that one control instance reports as silent.
+  struct SilentReport {
     std::set<EndpointId> endpoints;
-    Time said_at{};
+    Time reported_at{};
   };
 
   EndpointPoolOptions options_;
   std::map<EndpointId, Entry> entries_;
-  std::map<std::string, SilentView> silent_;
+  /// By control instance.
+  std::map<std::string, SilentReport> silent_;
   EndpointLoads other_loads_;
   EndpointLoads placed_;
   Time other_loads_at_{};
--- a/servers/entry/event_splitter.cc
+++ b/servers/entry/event_splitter.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-bool EventSplitter::IsNew(std::string_view event) {
+bool EventSplitter::AcceptIfNew(std::string_view event) {
   const std::optional<std::int64_t> id = EventId(event);
   if (!id.has_value()) return true;
   if (last_id_.has_value() && *id <= *last_id_) return false;
@@ -52,7 +52,7 @@
     const std::size_t length = EventLength(rest);
     if (length == 0) break;
     const std::string_view event = rest.substr(0, length);
-    if (IsNew(event)) {
+    if (AcceptIfNew(event)) {
       whole.append(event);
       ++events_;
     }
--- a/servers/entry/event_splitter.h
+++ b/servers/entry/event_splitter.h
@@ -1,5 +1,6 @@
-// Splits a text/event-stream body into whole events, so that a stream that
-// breaks inside an event can go on elsewhere without a seam.
+// Splits a text/event-stream body into complete events, so that a stream that
+// breaks inside an event can resume at another endpoint without a duplicate or
+// a partial event.
 #ifndef SERVERS_ENTRY_EVENT_SPLITTER_H_
 #define SERVERS_ENTRY_EVENT_SPLITTER_H_
 
@@ -12,22 +13,24 @@
 
 class EventSplitter {
  public:
-  /// Events up to and including `after` are dropped: the caller has them.
+  /// Drops events with ids up to and including `after`, which the caller has.
   explicit EventSplitter(std::optional<std::int64_t> after = std::nullopt)
       : last_id_(after) {}
 
-  /// Takes bytes as they arrive and returns the whole events that they
-  /// complete, in order, without those that are not newer than the last.
+  /// Appends received bytes and returns the events that they complete, in
+  /// order. Events whose id is not above the last one returned are dropped.
   std::string Feed(std::string_view bytes);
 
-  /// Id of the last event returned; null before the first with an id.
+  /// Id of the last event returned or passed as `after`; null if none had one.
   std::optional<std::int64_t> last_id() const { return last_id_; }
-  /// Bytes of an event that isn't whole yet.
+  /// Bytes of an event that isn't complete yet.
   const std::string& incomplete_event() const { return buffer_; }
+  /// Number of events returned.
   std::int64_t events() const { return events_; }
 
  private:
-  bool IsNew(std::string_view event);
+  /// Whether the event is not a duplicate; if so, its id becomes the last one.
+  bool AcceptIfNew(std::string_view event);
 
   std::string buffer_;
   std::optional<std::int64_t> last_id_;
--- a/servers/entry/memory_forecast.h
+++ b/servers/entry/memory_forecast.h
@@ -1,6 +1,6 @@
-// How much KV memory streams will hold while they go on. Streams of a runner
-// are at different points of their answers, so the most that they hold together
-// is less than the sum of what each holds at its end.
+// Forecast of the KV memory that streams hold over time. Streams of a runner
+// are at different stages of their outputs, so their combined peak is below the
+// sum of their individual peaks.
 #ifndef SERVERS_ENTRY_MEMORY_FORECAST_H_
 #define SERVERS_ENTRY_MEMORY_FORECAST_H_
 
@@ -11,25 +11,25 @@
 
 namespace cassiausher {
 
-/// Memory at points of time, of which the first is now. All streams of a runner
-/// write at the same pace, so time is counted in tokens that each of them
-/// writes. Forecasts with the same step can be added.
+/// KV memory at equidistant points in time, the first of which is now. All
+/// streams of a runner decode at the same rate, so time is measured in tokens
+/// generated per stream. Only forecasts with the same step can be added.
 class MemoryForecast {
  public:
   static constexpr std::size_t kPoints = 6;
   using Points = std::array<Tokens, kPoints>;
 
-  /// Nothing is held.
+  /// No memory at any point.
   MemoryForecast() = default;
   explicit MemoryForecast(const Points& points) : points_(points) {}
-  /// A stream that holds `held` tokens and ends once it has written `left`
-  /// more. `step` tokens are written from one point to the next; if it is 0,
-  /// all points are as now.
-  MemoryForecast(Tokens held, Tokens left, Tokens step);
+  /// A stream that holds `held` tokens now and ends after `remaining` more.
+  /// `step` tokens are generated between two points; with 0, the memory is
+  /// constant.
+  MemoryForecast(Tokens held, Tokens remaining, Tokens step);
 
   MemoryForecast& operator+=(const MemoryForecast& other);
   MemoryForecast& operator-=(const MemoryForecast& other);
-  /// The same work `numerator / denominator` times.
+  /// Every point multiplied by `numerator / denominator`.
   MemoryForecast Scaled(int numerator, int denominator) const;
 
   Tokens Now() const { return points_.front(); }
--- a/servers/entry/request_forwarder.cc
+++ b/servers/entry/request_forwarder.cc
@@ -54,25 +54,25 @@
 
 }  // namespace
 
-bool RequestForwarder::Repeatable() const {
+bool RequestForwarder::IsRetryable() const {
   return facts_.kind == RouteKind::kIdempotent || facts_.resumable;
 }
 
 bool RequestForwarder::HandleIsFresh(Time now) const {
   return kv_source_.has_value() &&
-         now - kv_read_at_ + kHandleMargin < facts_.handle_lifetime;
+         now - prefilled_at_ + kHandleMargin < facts_.handle_lifetime;
 }
 
 MemoryForecast RequestForwarder::Memory() const {
   // An answer that is longer than expected still goes on for a while.
   const Tokens left =
-      std::max(facts_.output - written_,
+      std::max(facts_.output - generated_,
                Tokens(facts_.output.value() / kLeastLeftDivisor));
   const Tokens step(facts_.kv_capacity.value() / kForecastStepDivisor);
-  return {facts_.prompt + written_, left, step};
+  return {facts_.prompt + generated_, left, step};
 }
 
-WorkSpec RequestForwarder::Work(EndpointRole role) const {
+WorkSpec RequestForwarder::MakeWorkSpec(EndpointRole role) const {
   return {.service = facts_.service,
           .role = role,
           .prompt = facts_.has_engine ? facts_.prompt : Tokens(0),
@@ -80,7 +80,7 @@
           .kv_capacity = facts_.kv_capacity,
           .full_occupancy = FullOccupancy(),
           .slots = facts_.slots,
-          .excluded = tried_};
+          .excluded = failed_endpoints_};
 }
 
 ForwardStep RequestForwarder::OnWaitElapsed(Time now) { return Next(now); }
@@ -103,20 +103,20 @@
   if (std::exchange(waiting_, false)) pool_->ChangeWaiting(-1);
 }
 
-void RequestForwarder::ReserveRoom(const EndpointId& endpoint,
-                                   const WorkSpec& work) {
+void RequestForwarder::ReserveMemory(const EndpointId& endpoint,
+                                     const WorkSpec& work) {
   pool_->Reserve(endpoint, work.memory, work.reserved_at == endpoint);
-  room_ = {endpoint, work.memory};
+  reservation_ = {endpoint, work.memory};
 }
 
-EndpointId RequestForwarder::ReleaseRoom() {
-  const auto room = std::exchange(room_, std::nullopt);
+EndpointId RequestForwarder::ReleaseReservation() {
+  const auto room = std::exchange(reservation_, std::nullopt);
   if (!room.has_value()) return {};
   pool_->Release(room->endpoint, room->memory);
   return room->endpoint;
 }
 
-bool RequestForwarder::MayWait(Time now) const {
+bool RequestForwarder::CanWaitForCapacity(Time now) const {
   // A longer queue is told at once to come back.
   const bool queue_is_long = pool_->waiting() >= kMostWaiting;
   if (!waiting_ && queue_is_long && !facts_.small_route) return false;
@@ -130,19 +130,19 @@
 
 ForwardStep RequestForwarder::OnPrefillDone(KvSource source, Time now) {
   kv_source_ = std::move(source);
-  kv_read_at_ = now;
+  prefilled_at_ = now;
   return Next(now);
 }
 
 ForwardStep RequestForwarder::OnCallFailed(CallFailure failure, Time now) {
-  tried_.insert(current_endpoint_);
+  failed_endpoints_.insert(current_endpoint_);
   if (current_ == CallKind::kPrefill) {
     ++prefill_failures_;
-    if (failure != CallFailure::kNotSent) ++arrivals_;
+    if (failure != CallFailure::kNotSent) ++failed_calls_sent_;
     return Next(now);
   }
   if (failure == CallFailure::kNotSent) return Next(now);
-  ++arrivals_;
+  ++failed_calls_sent_;
   const bool not_executed = failure == CallFailure::kNotExecuted ||
                             failure == CallFailure::kMisplaced;
   if (not_executed) {
@@ -152,7 +152,7 @@
   }
   kv_source_.reset();
   ++runs_;
-  if (!Repeatable()) return GiveUp("the endpoint broke off");
+  if (!IsRetryable()) return GiveUp("the endpoint broke off");
   if (runs_ >= facts_.attempts) return GiveUp("no attempt is left");
   return Next(now);
 }
@@ -161,13 +161,13 @@
   if (current_ == CallKind::kPrefill) return true;
   // A prompt is read again before the stream goes on.
   const double calls = facts_.has_engine ? 2 : 1;
-  return Repeatable() && runs_ + 1 < facts_.attempts &&
+  return IsRetryable() && runs_ + 1 < facts_.attempts &&
          budget_->Remaining(now) >= calls &&
          pool_->ReadyCount(facts_.service) > 1;
 }
 
 bool RequestForwarder::CanRetryServerError(Time now) const {
-  return Repeatable() && runs_ + 1 < facts_.attempts &&
+  return IsRetryable() && runs_ + 1 < facts_.attempts &&
          budget_->Remaining(now) >= 1 &&
          pool_->ReadyCount(facts_.service) > 1 &&
          facts_.deadline - now > kShortestAnswerTimeout;
@@ -179,7 +179,7 @@
 }
 
 ForwardStep RequestForwarder::GiveUp(std::string_view reason) {
-  ReleaseRoom();
+  ReleaseReservation();
   if (relayed_) return AbortStream{reason};
   if (runs_ > 0) return Fail{502, reason};
   return Refuse{reason, RetryAfter()};
@@ -206,11 +206,11 @@
 }
 
 std::optional<ForwardStep> RequestForwarder::ChoosePlainCall(Time now) {
-  const WorkSpec work = Work(EndpointRole::kPlain);
+  const WorkSpec work = MakeWorkSpec(EndpointRole::kPlain);
   const auto placed = pool_->Pick(work, now);
   if (!placed.has_value()) return std::nullopt;
   StartCall call{.endpoint = placed->endpoint, .work = work};
-  if (Repeatable() && runs_ + 1 < facts_.attempts) {
+  if (IsRetryable() && runs_ + 1 < facts_.attempts) {
     call.answer_timeout =
         std::max(kShortestAnswerTimeout, kSlowFactor * placed->expected);
   }
@@ -218,33 +218,33 @@
 }
 
 std::optional<ForwardStep> RequestForwarder::ChooseModelCall(Time now) {
-  WorkSpec decode = Work(EndpointRole::kDecode);
-  decode.prompt_is_read = true;
-  decode.reserved_at = ReleaseRoom();
+  WorkSpec decode = MakeWorkSpec(EndpointRole::kDecode);
+  decode.prompt_is_prefilled = true;
+  decode.reserved_at = ReleaseReservation();
   const auto runner = pool_->Pick(decode, now);
   const double bonus = facts_.small_route ? kSmallRouteBonus : 0;
   const double limit = std::min(1.0, decode.full_occupancy + bonus);
   const bool full = runner.has_value() && runner->occupancy > limit;
   // A stream that began goes on whatever the load: its caller has a part of it.
   if (full && !kv_source_.has_value() && runs_ == 0) {
-    if (!MayWait(now)) return GiveUp("no runner has room");
+    if (!CanWaitForCapacity(now)) return GiveUp("no runner has room");
     if (!std::exchange(waiting_, true)) pool_->ChangeWaiting(1);
     return WaitForCapacity{now + kRoomPollPeriod, runner->occupancy};
   }
   StopWaiting();
   if (!kv_source_.has_value() && runner.has_value()) {
     if (auto prefill = ChoosePrefill(now)) {
-      ReserveRoom(runner->endpoint.id, decode);
+      ReserveMemory(runner->endpoint.id, decode);
       return *prefill;
     }
   }
   // A runner that reads a prompt itself holds up its other streams beyond the
   // pauses that their callers bear, so this is for want of prefill runners.
-  decode.prompt_is_read = kv_source_.has_value();
+  decode.prompt_is_prefilled = kv_source_.has_value();
   if (!runner.has_value()) return std::nullopt;
   StartCall call{
       .endpoint = runner->endpoint, .work = decode, .kv_source = kv_source_};
-  if (Repeatable() && runs_ + 1 < facts_.attempts) {
+  if (IsRetryable() && runs_ + 1 < facts_.attempts) {
     call.answer_timeout = kFirstEventTimeout;
     call.gap_timeout = kGapFactor * facts_.gap_target;
   }
@@ -253,7 +253,7 @@
 
 std::optional<StartCall> RequestForwarder::ChoosePrefill(Time now) const {
   if (prefill_failures_ >= kMostPrefillFailures) return std::nullopt;
-  WorkSpec prefill = Work(EndpointRole::kPrefill);
+  WorkSpec prefill = MakeWorkSpec(EndpointRole::kPrefill);
   prefill.memory = MemoryForecast(facts_.prompt, Tokens(0), Tokens(0));
   prefill.slots = 0;
   const auto placed = pool_->Pick(prefill, now);
@@ -269,7 +269,7 @@
 
 ForwardStep RequestForwarder::Issue(StartCall call, Time now) {
   // The first prefill call and the first run are part of every request.
-  const bool extra = arrivals_ > 0;
+  const bool extra = failed_calls_sent_ > 0;
   if (extra && !budget_->TryRetry(now)) {
     return GiveUp("the retry budget is spent");
   }
--- a/servers/entry/request_forwarder.h
+++ b/servers/entry/request_forwarder.h
@@ -1,6 +1,6 @@
-// Decides where one request goes and what its caller is told when that fails:
-// which calls are made to endpoints, what may be repeated, and the final
-// answer.
+// Decides how one request is forwarded: which calls are made to endpoints, when
+// a failed call is retried, and how the request ends if no endpoint completes
+// it.
 #ifndef SERVERS_ENTRY_REQUEST_FORWARDER_H_
 #define SERVERS_ENTRY_REQUEST_FORWARDER_H_
 
@@ -19,45 +19,46 @@
 
 namespace cassiausher {
 
-/// What is known of a request when it arrives.
+/// Properties of a request that are known on arrival.
 struct RequestFacts {
   RouteKind kind = RouteKind::kNonIdempotent;
+  /// A broken stream may resume at another endpoint.
   bool resumable = false;
-  /// Endpoints that may run it.
+  /// Maximum number of runs, the first included.
   int attempts = 1;
   ServiceId service;
   /// The service's endpoints are model runners.
   bool has_engine = false;
-  /// Size of the prompt; 0 for plain services.
+  /// Prompt length; 0 for plain services.
   Tokens prompt{0};
-  /// Expected size of the answer.
+  /// Expected output length.
   Tokens output{0};
-  /// How far answers differ from that; null if unknown.
+  /// Standard deviation of output lengths from `output`; null if unknown.
   std::optional<Tokens> output_deviation;
   int tokens_per_event = 1;
-  /// Memory of one runner.
+  /// KV memory of one runner.
   Tokens kv_capacity{0};
-  /// Requests that one runner runs at once.
+  /// Requests that one runner runs concurrently.
   int slots = 0;
-  /// Time to the first event that the caller is promised.
+  /// Target for the time from arrival to the first event.
   Duration latency_target = Seconds(1);
-  /// Time for which a runner keeps a prompt that it read.
+  /// Time for which a prefill runner keeps a prompt's KV cache.
   Duration handle_lifetime = Milliseconds(500);
-  /// Its route has a small share of the traffic, so it may use the memory that
-  /// is kept free of the others.
+  /// The route has a small share of the traffic, so the request may use memory
+  /// that is kept free of other routes.
   bool small_route = false;
   Time arrived{};
-  /// End of the caller's patience or of the route's timeout.
+  /// Earlier one of the caller's own deadline and the route's timeout.
   Time deadline{};
   Duration gap_target = Milliseconds(300);
 };
 
 enum class CallKind {
-  kPrefill,  ///< Only reads the prompt. Doesn't run the request.
+  kPrefill,  ///< Only prefills the prompt; doesn't run the request.
   kRun,      ///< Runs the request.
 };
 
-/// A prompt's KV cache at the runner that read it.
+/// A prompt's KV cache on the runner that prefilled it.
 struct KvSource {
   std::string address;  ///< "IP:PORT" of the runner.
   std::string handle;
@@ -68,33 +69,33 @@
   EndpointRecord endpoint;
   WorkSpec work;
   std::optional<KvSource> kv_source;
-  /// The call counts as broken without an answer, or without the first event
-  /// of a stream, after this time; zero: only the deadline ends it.
+  /// Maximum time to the response, or to the first event of a stream, before
+  /// the call counts as broken; zero for the deadline only.
   Duration answer_timeout{};
-  /// The same for a pause between two events.
+  /// Maximum time between two events; zero for the deadline only.
   Duration gap_timeout{};
 };
 
-/// No runner has room; ask again at that time.
+/// No runner has free capacity; call OnWaitElapsed() at `until`.
 struct WaitForCapacity {
   Time until{};
-  /// Share of the best runner's memory that would be in use.
+  /// Occupancy that the picked runner would have with this request.
   double occupancy = 0;
 };
 
-/// The request has not run and never will. The caller may come back.
+/// The request was not executed and never will be; the caller may retry.
 struct Refuse {
   std::string_view reason;
   Duration retry_after{};
 };
 
-/// The request may have run, or there is no time left.
+/// The request may have been executed, or its deadline has passed.
 struct Fail {
   int status = 502;
   std::string_view reason;
 };
 
-/// A stream that has begun can't go on.
+/// A stream that the caller has a part of can't be continued.
 struct AbortStream {
   std::string_view reason;
 };
@@ -103,69 +104,72 @@
     std::variant<StartCall, WaitForCapacity, Refuse, Fail, AbortStream>;
 
 enum class CallFailure {
-  kNotSent,      ///< No connection; the endpoint saw nothing.
-  kNotExecuted,  ///< The endpoint says that it didn't run the request.
-  kMisplaced,    ///< The same, since another endpoint has the address.
-  kServerError,  ///< The endpoint answered that it failed.
-  kBroken,       ///< No answer or half of one; may have run.
+  kNotSent,      ///< No connection; the endpoint received nothing.
+  kNotExecuted,  ///< The endpoint reports that it didn't run the request.
+  kMisplaced,    ///< Not executed: another endpoint now has the address.
+  kServerError,  ///< The endpoint responded with a server error.
+  kBroken,       ///< No response or an incomplete one; may have run.
 };
 
-/// One request. Not thread safe; pool and budget must outlive it.
+/// Forwards one request. Not thread safe; pool and budget must outlive it.
 class RequestForwarder {
  public:
   RequestForwarder(RequestFacts facts, EndpointPool* pool, RetryBudget* budget)
       : facts_(std::move(facts)), pool_(pool), budget_(budget) {}
   ~RequestForwarder() {
     StopWaiting();
-    ReleaseRoom();
+    ReleaseReservation();
   }
   RequestForwarder(const RequestForwarder&) = delete;
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
   ForwardStep Start(Time now);
-  /// The time of WaitForCapacity has come.
+  /// The time of the last WaitForCapacity step has come.
   ForwardStep OnWaitElapsed(Time now);
   ForwardStep OnPrefillDone(KvSource source, Time now);
-  /// The current call failed. A server error may be relayed instead of asking;
-  /// see CanRetryServerError().
+  /// The current call failed. A server error may be relayed to the caller
+  /// instead; see CanRetryServerError().
   ForwardStep OnCallFailed(CallFailure failure, Time now);
   ForwardStep OnDeadline();
-  /// Bytes of the answer went to the caller.
+  /// A part of the response was sent to the caller.
   void OnRelayed() { relayed_ = true; }
-  /// So much of the answer was written, over all runs.
-  void OnTokensGenerated(Tokens written) { written_ = written; }
-  /// KV memory that the run in progress is expected to hold.
+  /// Sets the number of output tokens generated so far, over all runs.
+  void OnTokensGenerated(Tokens generated) { generated_ = generated; }
+  /// KV memory that the request is expected to hold on its runner.
   MemoryForecast Memory() const;
 
-  /// Whether a run that makes no progress can be ended and go on elsewhere. If
-  /// not, its endpoint's silence is no reason to end it.
+  /// Whether a call that makes no progress can be ended and continued at
+  /// another endpoint. If not, the call is kept despite its endpoint's silence.
   bool CanFailOver(Time now) const;
-  /// Whether an answer that says that the endpoint failed is worth another
-  /// attempt. If not, it is the request's answer.
+  /// Whether a server error can be retried at another endpoint. If not, it is
+  /// relayed to the caller.
   bool CanRetryServerError(Time now) const;
-  /// A handle that was never taken and still holds memory; ends with the call.
+  /// Returns and clears a handle that no run has used and that may still hold
+  /// memory.
   std::optional<KvSource> TakeUnusedHandle();
 
  private:
-  bool Repeatable() const;
+  /// Whether the request may run more than once.
+  bool IsRetryable() const;
   bool HandleIsFresh(Time now) const;
   ForwardStep Next(Time now);
   std::optional<ForwardStep> ChooseModelCall(Time now);
   std::optional<StartCall> ChoosePrefill(Time now) const;
   std::optional<ForwardStep> ChoosePlainCall(Time now);
-  /// Whether waiting for room can still keep the latency target.
-  bool MayWait(Time now) const;
-  /// Share of a runner's memory that placement uses, so that streams which
-  /// grow beyond what is expected still fit.
+  /// Whether the request can wait for capacity and still meet its latency
+  /// target.
+  bool CanWaitForCapacity(Time now) const;
+  /// Share of a runner's memory that placement may fill. The rest is kept for
+  /// outputs that exceed their expected length.
   double FullOccupancy() const;
   void StopWaiting();
-  void ReserveRoom(const EndpointId& endpoint, const WorkSpec& work);
-  /// Returns where room was reserved, empty for nowhere.
-  EndpointId ReleaseRoom();
+  void ReserveMemory(const EndpointId& endpoint, const WorkSpec& work);
+  /// Returns the endpoint of the reservation; empty if there was none.
+  EndpointId ReleaseReservation();
   Duration RetryAfter() const;
   ForwardStep Issue(StartCall call, Time now);
   ForwardStep GiveUp(std::string_view reason);
-  WorkSpec Work(EndpointRole role) const;
+  WorkSpec MakeWorkSpec(EndpointRole role) const;
 
   RequestFacts facts_;
   EndpointPool* pool_;
@@ -174,26 +178,27 @@
   CallKind current_ = CallKind::kRun;
   EndpointId current_endpoint_;
   std::optional<KvSource> kv_source_;
-  Time kv_read_at_{};
+  Time prefilled_at_{};
   int prefill_failures_ = 0;
-  /// Runners that rejected the prompt's KV cache.
+  /// Runs that were rejected without being executed.
   int handle_rejections_ = 0;
-  /// Endpoints that failed this request.
-  std::set<EndpointId> tried_;
-  /// Runs that began or may have begun. At most `attempts`, and at most one if
-  /// the request can't be repeated.
+  /// Excluded from further calls.
+  std::set<EndpointId> failed_endpoints_;
+  /// Failed runs that began or may have begun. At most `attempts`, and at most
+  /// one if the request isn't retryable.
   int runs_ = 0;
-  /// Calls that reached an endpoint and count against the retry budget.
-  int arrivals_ = 0;
+  /// Failed calls that reached an endpoint. After the first, every further call
+  /// takes a retry from the budget.
+  int failed_calls_sent_ = 0;
   int calls_ = 0;
-  /// Where the stream will run, while its prompt is read.
-  struct Room {
+  /// Decode runner of the stream while its prompt is prefilled.
+  struct Reservation {
     EndpointId endpoint;
     MemoryForecast memory;
   };
-  std::optional<Room> room_;
+  std::optional<Reservation> reservation_;
   bool relayed_ = false;
-  Tokens written_{0};
+  Tokens generated_{0};
   /// Counted in the pool's waiting requests.
   bool waiting_ = false;
 };
--- a/servers/entry/route_shares.cc
+++ b/servers/entry/route_shares.cc
@@ -15,13 +15,13 @@
 
 double RouteShares::Decayed(const Count& count, Time now) {
   return count.weight *
-         std::exp2(-ToSeconds(now - count.at) / ToSeconds(kHalfLife));
+         std::exp2(-ToSeconds(now - count.updated_at) / ToSeconds(kHalfLife));
 }
 
 void RouteShares::OnRequest(const std::string& route, Time now) {
   Count& count = counts_[route];
   count.weight = Decayed(count, now) + 1;
-  count.at = now;
+  count.updated_at = now;
 }
 
 bool RouteShares::IsSmall(const std::string& route, Time now) const {
--- a/servers/entry/route_shares.h
+++ b/servers/entry/route_shares.h
@@ -1,5 +1,5 @@
-// Shares of the routes in the traffic of one service, so that in overload the
-// requests of a small route aren't crowded out by a large one.
+// Tracks each route's share of a service's requests, so that a high-volume
+// route doesn't starve a low-volume one under overload.
 #ifndef SERVERS_ENTRY_ROUTE_SHARES_H_
 #define SERVERS_ENTRY_ROUTE_SHARES_H_
 
@@ -15,19 +15,20 @@
  public:
   void OnRequest(const std::string& route, Time now);
 
-  /// Whether the route has less than half of an equal share of the requests
-  /// lately seen. False while few were seen.
+  /// Whether the route's share of recent requests is below half of an equal
+  /// share. False while there are too few requests or only one route.
   bool IsSmall(const std::string& route, Time now) const;
 
  private:
   struct Count {
     double weight = 0;
-    Time at{};
+    Time updated_at{};
   };
 
+  /// The weight at `now`.
   static double Decayed(const Count& count, Time now);
 
-  /// Requests by route; older ones weigh less.
+  /// Exponentially decayed request counts by route.
   std::map<std::string, Count> counts_;
 };
 
