--- a/servers/entry/endpoint_pool.cc
+++ b/servers/entry/endpoint_pool.cc
@@ -9,37 +9,39 @@
 namespace cassiausher {
 namespace {
 
-// Costs assumed until something is observed. A decode runner reads a prompt at
+// Costs assumed until some are observed. A decode runner prefills a prompt at
 // half the speed of a prefill runner.
 constexpr double kPrefillTokenUs = 18;
 constexpr double kDecodeTokenUs = 36;
 constexpr double kPlainRequestUs = 15000;
-// Tokens of reading that a decode takes the time of, as a share of the prompt.
-constexpr std::int64_t kDecodeShare = 8;
-// Weight of the newest observation.
+// Decoding from a fetched KV cache is assumed to take the time of prefilling
+// this fraction of the prompt.
+constexpr std::int64_t kDecodeCostDivisor = 8;
+// Weight of the newest observation in moving averages.
 constexpr double kObservationWeight = 0.25;
-// An answer that says that the endpoint failed, against a connection that
-// breaks: some requests fail wherever they run.
+// Weight of a server error as a failure, where a broken connection counts 1.
+// Lower, since some requests fail at any endpoint.
 constexpr double kServerErrorWeight = 0.25;
-// Loads of other instances count this long without a new word.
+// Loads of other instances are valid for this long without an update.
 constexpr Duration kLoadLifetime = Seconds(2);
-// An endpoint at whose address another answered is left out this long; the
-// registry learns of the change meanwhile.
-constexpr Duration kMisplacedPause = Seconds(5);
-// A runner that had no room is passed over this long.
-constexpr Duration kFullPause = Milliseconds(150);
-// Weight of KV memory in use, as waiting time for a full runner: a crowded
-// runner makes tokens slowly and preempts requests.
-constexpr double kOccupancyUs = 120000;
-constexpr double kFullUs = 2e6;
-// Occupancy reported for a runner that just had no room.
+// An endpoint whose address another endpoint has is excluded for this long,
+// until the registry has learned of the change.
+constexpr Duration kMisplacedExclusion = Seconds(5);
+// A runner that rejected a request counts as full for this long.
+constexpr Duration kFullBackoff = Milliseconds(150);
+// Penalty for occupancy, as the latency that full occupancy is worth: a highly
+// loaded runner generates tokens slowly and preempts requests.
+constexpr double kOccupancyPenaltyUs = 120000;
+// Penalty for a runner that counts as full.
+constexpr double kFullPenaltyUs = 2e6;
+// Minimum occupancy reported for a runner that just rejected a request.
 constexpr double kOverFull = 1.01;
-// Added to the score of endpoints that should only be used when no other is
-// left; above any expected time.
-constexpr double kLastResortUs = 1e9;
+// Penalty for endpoints that are used only if there is no other; above any
+// expected time.
+constexpr double kLastResortPenaltyUs = 1e9;
 
 constexpr CircuitBreakerOptions kBreakerOptions = {
-    // A connection that can't be made is rare on a sound endpoint.
+    // One failure is enough: connections to a healthy endpoint rarely fail.
     .consecutive_failures = 1,
     .failure_ratio = 0.6,
     .window_calls = 6,
@@ -99,11 +101,12 @@
     entry.changed_at = now;
     return;
   }
-  const Incarnation born = entry.record.born;
+  const Incarnation old_incarnation = entry.record.born;
   if (!cassiausher::Merge(update, &entry.record)) return;
   entry.changed_at = now;
-  // A new incarnation has nothing of what was observed before.
-  if (entry.record.born == born) return;
+  // Observations of the old incarnation don't apply to the new one; work in
+  // flight and reservations are kept.
+  if (entry.record.born == old_incarnation) return;
   const int in_flight = entry.in_flight;
   const int reserved = entry.reserved;
   const Tokens tokens = entry.in_flight_tokens;
@@ -138,19 +141,19 @@
 }
 
 bool EndpointPool::IsSilent(const EndpointId& id, Time now) const {
-  bool said = false;
-  for (const auto& [control, view] : silent_) {
-    if (now - view.reported_at >= options_.silence_lifetime) continue;
-    // Some control instance still hears of it.
-    if (!view.endpoints.contains(id)) return false;
-    said = true;
+  bool reported = false;
+  for (const auto& [control, report] : silent_) {
+    if (now - report.reported_at >= options_.silence_lifetime) continue;
+    // This control instance still receives its heartbeats.
+    if (!report.endpoints.contains(id)) return false;
+    reported = true;
   }
-  return said;
+  return reported;
 }
 
 Tokens EndpointPool::PrefillCost(const WorkSpec& work) {
   if (!work.prompt_is_prefilled) return work.prompt;
-  return Tokens(work.prompt.value() / kDecodeShare);
+  return Tokens(work.prompt.value() / kDecodeCostDivisor);
 }
 
 double EndpointPool::ObservationDecay(const Entry& entry, Time now) const {
@@ -162,8 +165,8 @@
                               Time now) const {
   const double assumed = DefaultUnitCost(entry.record, work);
   if (entry.unit_cost_us <= 0) return assumed;
-  const double memory = ObservationDecay(entry, now);
-  return memory * entry.unit_cost_us + (1 - memory) * assumed;
+  const double decay = ObservationDecay(entry, now);
+  return decay * entry.unit_cost_us + (1 - decay) * assumed;
 }
 
 Duration EndpointPool::ExpectedTime(const Entry& entry, const WorkSpec& work,
@@ -171,7 +174,7 @@
   const double unit = UnitCost(entry, work, now);
   if (work.prompt.value() > 0) {
     Tokens tokens = entry.in_flight_tokens + PrefillCost(work);
-    // What others read at a prefill runner comes before this.
+    // Prompts that other instances sent to a prefill runner are queued ahead.
     if (entry.record.role == EndpointRole::kPrefill) {
       tokens += OtherLoad(entry, now).memory.Now();
     }
@@ -190,18 +193,18 @@
     score += static_cast<double>(options_.remote_penalty.count());
   }
   const double occupancy = Occupancy(entry, work, now);
-  score += kOccupancyUs * occupancy;
+  score += kOccupancyPenaltyUs * occupancy;
   const bool full = occupancy > work.full_occupancy || now < entry.full_until;
-  if (full) score += kFullUs;
+  if (full) score += kFullPenaltyUs;
   score += ObservationDecay(entry, now) * entry.failure_share *
            static_cast<double>(options_.failure_penalty.count());
-  if (IsSilent(entry.record.id, now)) score += kLastResortUs;
+  if (IsSilent(entry.record.id, now)) score += kLastResortPenaltyUs;
   const CircuitState circuit = entry.breaker.state(now);
-  // A half-open circuit lets one trial through at a time.
-  const bool closed_to_new =
+  // A half-open circuit admits one trial request at a time.
+  const bool circuit_blocks =
       circuit == CircuitState::kOpen ||
       (circuit == CircuitState::kHalfOpen && entry.in_flight > 0);
-  if (closed_to_new) score += kLastResortUs;
+  if (circuit_blocks) score += kLastResortPenaltyUs;
   return score;
 }
 
@@ -228,7 +231,7 @@
     if (work.excluded.contains(id)) continue;
     if (now < entry.misplaced_until || now < entry.changing_until) continue;
     const double score = Score(entry, work, now);
-    if (score < kFullUs) usable.push_back(&entry);
+    if (score < kFullPenaltyUs) usable.push_back(&entry);
     if (score >= best_score) continue;
     best = &entry;
     best_score = score;
@@ -254,7 +257,8 @@
     const auto found = other_loads_.find(entry.record.id);
     return found == other_loads_.end() ? EndpointLoad{} : found->second;
   }
-  // No control instance is heard; the others do as this instance does.
+  // No current loads from a control instance: assumes that every other instance
+  // has the same load as this one.
   return {(entry.in_flight + entry.reserved) * other_instances_,
           entry.memory.Scaled(other_instances_, 1)};
 }
@@ -301,7 +305,7 @@
                            Time now) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) return;
-  // Counts the trial of a half-open circuit.
+  // Registers the trial request of a half-open circuit.
   found->second.breaker.Allow(now);
   ++found->second.in_flight;
   found->second.in_flight_tokens += PrefillCost(work);
@@ -348,14 +352,13 @@
   entry.memory -= work.memory;
   if (outcome == WorkOutcome::kAbandoned) return;
   if (outcome == WorkOutcome::kMisplaced) {
-    entry.misplaced_until = now + kMisplacedPause;
+    entry.misplaced_until = now + kMisplacedExclusion;
     return;
   }
-  if (outcome == WorkOutcome::kRejected) entry.full_until = now + kFullPause;
-  const double memory = ObservationDecay(entry, now);
-  entry.failure_share =
-      (1 - kObservationWeight) * memory * entry.failure_share +
-      kObservationWeight * FailureWeight(outcome);
+  if (outcome == WorkOutcome::kRejected) entry.full_until = now + kFullBackoff;
+  const double decay = ObservationDecay(entry, now);
+  entry.failure_share = (1 - kObservationWeight) * decay * entry.failure_share +
+                        kObservationWeight * FailureWeight(outcome);
   if (outcome == WorkOutcome::kUnreachable) {
     entry.breaker.OnFailure(now);
   } else {
--- a/servers/entry/event_splitter.cc
+++ b/servers/entry/event_splitter.cc
@@ -6,7 +6,7 @@
 namespace cassiausher {
 namespace {
 
-// Length of the first whole event with its blank line; 0 if there is none.
+// Length of the first complete event and its blank line; 0 if there is none.
 std::size_t EventLength(std::string_view text) {
   const std::size_t plain = text.find("\n\n");
   const std::size_t crlf = text.find("\r\n\r\n");
@@ -45,7 +45,7 @@
 
 std::string EventSplitter::Feed(std::string_view bytes) {
   buffer_.append(bytes);
-  std::string whole;
+  std::string complete;
   std::size_t start = 0;
   for (;;) {
     const std::string_view rest = std::string_view(buffer_).substr(start);
@@ -53,13 +53,13 @@
     if (length == 0) break;
     const std::string_view event = rest.substr(0, length);
     if (AcceptIfNew(event)) {
-      whole.append(event);
+      complete.append(event);
       ++events_;
     }
     start += length;
   }
   buffer_.erase(0, start);
-  return whole;
+  return complete;
 }
 
 }  // namespace cassiausher
--- a/servers/entry/memory_forecast.cc
+++ b/servers/entry/memory_forecast.cc
@@ -5,11 +5,11 @@
 
 namespace cassiausher {
 
-MemoryForecast::MemoryForecast(Tokens held, Tokens left, Tokens step) {
+MemoryForecast::MemoryForecast(Tokens held, Tokens remaining, Tokens step) {
   for (std::size_t i = 0; i < kPoints; ++i) {
-    const std::int64_t written = step.value() * static_cast<std::int64_t>(i);
-    const bool ended = i > 0 && written > left.value();
-    if (!ended) points_[i] = held + Tokens(written);
+    const std::int64_t generated = step.value() * static_cast<std::int64_t>(i);
+    const bool ended = i > 0 && generated > remaining.value();
+    if (!ended) points_[i] = held + Tokens(generated);
   }
 }
 
--- a/servers/entry/request_forwarder.cc
+++ b/servers/entry/request_forwarder.cc
@@ -7,50 +7,52 @@
 namespace cassiausher {
 namespace {
 
-// With less time left no endpoint finishes anything.
-constexpr Duration kLeastUsefulTime = Milliseconds(5);
-// Bounds the calls of a request when no endpoint accepts connections.
-constexpr int kMostCalls = 6;
-// A prompt is read at another prefill runner this often before the decode
-// runner reads it.
-constexpr int kMostPrefillFailures = 2;
-// Standard deviations of what the streams of a runner hold beyond the forecast
-// that are kept free.
+// No endpoint can complete a request in less time.
+constexpr Duration kMinUsefulTime = Milliseconds(5);
+// Limits the calls of a request when no endpoint accepts connections.
+constexpr int kMaxCalls = 6;
+// After this many failed prefill calls, the decode runner prefills the prompt.
+constexpr int kMaxPrefillFailures = 2;
+// KV memory kept free on a runner for streams that exceed their forecast, in
+// standard deviations of their combined memory.
 constexpr double kFreeDeviations = 2;
-constexpr double kLeastFullOccupancy = 0.7;
-constexpr double kMostFullOccupancy = 0.92;
-// Requests of small routes find room where others don't.
-constexpr double kSmallRouteBonus = 0.15;
-// Tokens from one point of a memory forecast to the next, as a share of a
-// runner's memory; the same on all instances, since forecasts are added up.
+constexpr double kMinFullOccupancy = 0.7;
+constexpr double kMaxFullOccupancy = 0.92;
+// Added to the occupancy limit for requests of small routes.
+constexpr double kSmallRouteOccupancyBonus = 0.15;
+// Step of a memory forecast, as a fraction of a runner's memory: the same on
+// all instances, since forecasts with different steps can't be added.
 constexpr std::int64_t kForecastStepDivisor = 64;
-constexpr std::int64_t kLeastLeftDivisor = 4;
-// Reading a prompt and the first token, kept back from the latency target
-// while a request waits for room.
-constexpr Duration kReadingTime = Milliseconds(350);
-constexpr Duration kRoomPollPeriod = Milliseconds(30);
-// A runner that is full and one whose source lost the handle give the same
-// answer, so a handle is offered to this many.
-constexpr int kMostHandleOffers = 3;
-// A handle is not offered this shortly before it lapses.
+// An output is assumed to grow by at least this fraction of its expected
+// length.
+constexpr std::int64_t kMinRemainingDivisor = 4;
+// Part of the latency target that a request waiting for capacity keeps for its
+// prefill and first token.
+constexpr Duration kPrefillTime = Milliseconds(350);
+constexpr Duration kCapacityPollPeriod = Milliseconds(30);
+// A runner responds alike when it is full and when the prefill runner has lost
+// the handle, so a handle is offered to this many runners.
+constexpr int kMaxHandleRejections = 3;
+// A handle that expires within this time is not used.
 constexpr Duration kHandleMargin = Milliseconds(120);
-// An idempotent call that takes this many times the expected time is repeated
-// elsewhere; a sound endpoint's slowest requests take five times the mean.
-constexpr int kSlowFactor = 6;
-constexpr Duration kShortestAnswerTimeout = Milliseconds(150);
-constexpr Duration kShortestPrefillTimeout = Milliseconds(1200);
-constexpr Duration kLongestPrefillTimeout = Milliseconds(2500);
-// A resumable stream without an event for this long goes on elsewhere. Above
-// the pauses of a loaded engine, below what callers bear.
+// A call of a retryable request times out after this many times its expected
+// time; the slowest requests of a healthy endpoint take five times the mean.
+constexpr int kAnswerTimeoutFactor = 6;
+constexpr Duration kMinAnswerTimeout = Milliseconds(150);
+constexpr Duration kMinPrefillTimeout = Milliseconds(1200);
+constexpr Duration kMaxPrefillTimeout = Milliseconds(2500);
+// A retryable stream without a first event for this long fails over. Longer
+// than the pauses of a loaded engine, shorter than callers wait.
 constexpr Duration kFirstEventTimeout = Milliseconds(3000);
-constexpr int kGapFactor = 4;
-// Short enough that a caller of a lookup can come back within its deadline.
+constexpr int kGapTimeoutFactor = 4;
+// Short enough that a caller of a lookup can retry within its deadline.
 constexpr Duration kPlainRetryAfter = Milliseconds(150);
-// Bursts last a few seconds, and a caller comes back once or twice at most.
+// Bursts last a few seconds, and a caller retries at most once or twice.
 constexpr Duration kModelRetryAfter = Milliseconds(3000);
 constexpr Duration kModelRetrySpread = Milliseconds(1500);
-// Room comes back for a few requests at an instance while a request can wait.
-constexpr int kMostWaiting = 3;
+// While a request can wait, capacity is freed for only a few requests of an
+// instance.
+constexpr int kMaxWaiting = 3;
 
 }  // namespace
 
@@ -64,12 +66,12 @@
 }
 
 MemoryForecast RequestForwarder::Memory() const {
-  // An answer that is longer than expected still goes on for a while.
-  const Tokens left =
+  // An output that exceeds its expected length still grows for a while.
+  const Tokens remaining =
       std::max(facts_.output - generated_,
-               Tokens(facts_.output.value() / kLeastLeftDivisor));
+               Tokens(facts_.output.value() / kMinRemainingDivisor));
   const Tokens step(facts_.kv_capacity.value() / kForecastStepDivisor);
-  return {facts_.prompt + generated_, left, step};
+  return {facts_.prompt + generated_, remaining, step};
 }
 
 WorkSpec RequestForwarder::MakeWorkSpec(EndpointRole role) const {
@@ -91,12 +93,12 @@
   const auto stream =
       static_cast<double>((facts_.prompt + facts_.output).value());
   if (capacity <= 0 || stream <= 0) return kDefaultFullOccupancy;
-  // Deviations of streams are independent, so they grow with the root of their
-  // number.
+  // Output lengths are independent, so the deviation of their sum grows with
+  // the square root of the number of streams.
   const double spread = static_cast<double>(facts_.output_deviation->value()) *
                         std::sqrt(capacity / stream);
-  return std::clamp(1 - kFreeDeviations * spread / capacity,
-                    kLeastFullOccupancy, kMostFullOccupancy);
+  return std::clamp(1 - kFreeDeviations * spread / capacity, kMinFullOccupancy,
+                    kMaxFullOccupancy);
 }
 
 void RequestForwarder::StopWaiting() {
@@ -110,17 +112,17 @@
 }
 
 EndpointId RequestForwarder::ReleaseReservation() {
-  const auto room = std::exchange(reservation_, std::nullopt);
-  if (!room.has_value()) return {};
-  pool_->Release(room->endpoint, room->memory);
-  return room->endpoint;
+  const auto reservation = std::exchange(reservation_, std::nullopt);
+  if (!reservation.has_value()) return {};
+  pool_->Release(reservation->endpoint, reservation->memory);
+  return reservation->endpoint;
 }
 
 bool RequestForwarder::CanWaitForCapacity(Time now) const {
-  // A longer queue is told at once to come back.
-  const bool queue_is_long = pool_->waiting() >= kMostWaiting;
+  // Rejects at once if the queue is long, so that the caller retries later.
+  const bool queue_is_long = pool_->waiting() >= kMaxWaiting;
   if (!waiting_ && queue_is_long && !facts_.small_route) return false;
-  return now - facts_.arrived + kReadingTime < facts_.latency_target;
+  return now - facts_.arrived + kPrefillTime < facts_.latency_target;
 }
 
 ForwardStep RequestForwarder::Start(Time now) {
@@ -146,8 +148,9 @@
   const bool not_executed = failure == CallFailure::kNotExecuted ||
                             failure == CallFailure::kMisplaced;
   if (not_executed) {
-    const bool offered_enough = ++handle_rejections_ >= kMostHandleOffers;
-    if (kv_source_.has_value() && offered_enough) kv_source_.reset();
+    const bool rejected_too_often =
+        ++handle_rejections_ >= kMaxHandleRejections;
+    if (kv_source_.has_value() && rejected_too_often) kv_source_.reset();
     return Next(now);
   }
   kv_source_.reset();
@@ -159,7 +162,7 @@
 
 bool RequestForwarder::CanFailOver(Time now) const {
   if (current_ == CallKind::kPrefill) return true;
-  // A prompt is read again before the stream goes on.
+  // Resuming a stream needs a prefill call and a run.
   const double calls = facts_.has_engine ? 2 : 1;
   return IsRetryable() && runs_ + 1 < facts_.attempts &&
          budget_->Remaining(now) >= calls &&
@@ -170,7 +173,7 @@
   return IsRetryable() && runs_ + 1 < facts_.attempts &&
          budget_->Remaining(now) >= 1 &&
          pool_->ReadyCount(facts_.service) > 1 &&
-         facts_.deadline - now > kShortestAnswerTimeout;
+         facts_.deadline - now > kMinAnswerTimeout;
 }
 
 ForwardStep RequestForwarder::OnDeadline() {
@@ -185,7 +188,7 @@
   return Refuse{reason, RetryAfter()};
 }
 
-// Spread over the callers, so that they don't come back together.
+// Jittered by arrival time, so that callers don't retry at the same time.
 Duration RequestForwarder::RetryAfter() const {
   if (!facts_.has_engine) return kPlainRetryAfter;
   const auto arrived_us = facts_.arrived.time_since_epoch().count();
@@ -193,8 +196,8 @@
 }
 
 ForwardStep RequestForwarder::Next(Time now) {
-  if (facts_.deadline - now < kLeastUsefulTime) return GiveUp("no time left");
-  if (calls_ >= kMostCalls) return GiveUp("no endpoint took the request");
+  if (facts_.deadline - now < kMinUsefulTime) return GiveUp("no time left");
+  if (calls_ >= kMaxCalls) return GiveUp("no endpoint took the request");
   if (kv_source_.has_value() && !HandleIsFresh(now)) kv_source_.reset();
   std::optional<ForwardStep> step =
       facts_.has_engine ? ChooseModelCall(now) : ChoosePlainCall(now);
@@ -212,7 +215,7 @@
   StartCall call{.endpoint = placed->endpoint, .work = work};
   if (IsRetryable() && runs_ + 1 < facts_.attempts) {
     call.answer_timeout =
-        std::max(kShortestAnswerTimeout, kSlowFactor * placed->expected);
+        std::max(kMinAnswerTimeout, kAnswerTimeoutFactor * placed->expected);
   }
   return call;
 }
@@ -222,14 +225,15 @@
   decode.prompt_is_prefilled = true;
   decode.reserved_at = ReleaseReservation();
   const auto runner = pool_->Pick(decode, now);
-  const double bonus = facts_.small_route ? kSmallRouteBonus : 0;
+  const double bonus = facts_.small_route ? kSmallRouteOccupancyBonus : 0;
   const double limit = std::min(1.0, decode.full_occupancy + bonus);
   const bool full = runner.has_value() && runner->occupancy > limit;
-  // A stream that began goes on whatever the load: its caller has a part of it.
+  // A stream that has begun is resumed at any load: its caller has a part of
+  // it.
   if (full && !kv_source_.has_value() && runs_ == 0) {
     if (!CanWaitForCapacity(now)) return GiveUp("no runner has room");
     if (!std::exchange(waiting_, true)) pool_->ChangeWaiting(1);
-    return WaitForCapacity{now + kRoomPollPeriod, runner->occupancy};
+    return WaitForCapacity{now + kCapacityPollPeriod, runner->occupancy};
   }
   StopWaiting();
   if (!kv_source_.has_value() && runner.has_value()) {
@@ -238,29 +242,29 @@
       return *prefill;
     }
   }
-  // A runner that reads a prompt itself holds up its other streams beyond the
-  // pauses that their callers bear, so this is for want of prefill runners.
+  // Without a KV source the decode runner prefills the prompt itself, which
+  // stalls its other streams for longer than their callers tolerate. This
+  // happens only if no prefill runner can be used.
   decode.prompt_is_prefilled = kv_source_.has_value();
   if (!runner.has_value()) return std::nullopt;
   StartCall call{
       .endpoint = runner->endpoint, .work = decode, .kv_source = kv_source_};
   if (IsRetryable() && runs_ + 1 < facts_.attempts) {
     call.answer_timeout = kFirstEventTimeout;
-    call.gap_timeout = kGapFactor * facts_.gap_target;
+    call.gap_timeout = kGapTimeoutFactor * facts_.gap_target;
   }
   return call;
 }
 
 std::optional<StartCall> RequestForwarder::ChoosePrefill(Time now) const {
-  if (prefill_failures_ >= kMostPrefillFailures) return std::nullopt;
+  if (prefill_failures_ >= kMaxPrefillFailures) return std::nullopt;
   WorkSpec prefill = MakeWorkSpec(EndpointRole::kPrefill);
   prefill.memory = MemoryForecast(facts_.prompt, Tokens(0), Tokens(0));
   prefill.slots = 0;
   const auto placed = pool_->Pick(prefill, now);
   if (!placed.has_value()) return std::nullopt;
-  const Duration timeout =
-      std::clamp(3 * placed->expected + Milliseconds(200),
-                 kShortestPrefillTimeout, kLongestPrefillTimeout);
+  const Duration timeout = std::clamp(3 * placed->expected + Milliseconds(200),
+                                      kMinPrefillTimeout, kMaxPrefillTimeout);
   return StartCall{.kind = CallKind::kPrefill,
                    .endpoint = placed->endpoint,
                    .work = prefill,
@@ -268,9 +272,10 @@
 }
 
 ForwardStep RequestForwarder::Issue(StartCall call, Time now) {
-  // The first prefill call and the first run are part of every request.
-  const bool extra = failed_calls_sent_ > 0;
-  if (extra && !budget_->TryRetry(now)) {
+  // The first prefill call and the first run are part of every request; only
+  // calls after a failed one that reached its endpoint are retries.
+  const bool is_retry = failed_calls_sent_ > 0;
+  if (is_retry && !budget_->TryRetry(now)) {
     return GiveUp("the retry budget is spent");
   }
   ++calls_;
--- a/servers/entry/route_shares.cc
+++ b/servers/entry/route_shares.cc
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr Duration kHalfLife = Seconds(20);
-// Shares of fewer requests say nothing.
-constexpr double kLeastRequests = 6;
-// Part of an equal share below which a route counts as small.
-constexpr double kSmallPart = 0.5;
+// With fewer requests, shares are not significant.
+constexpr double kMinRequests = 6;
+// Fraction of an equal share below which a route counts as small.
+constexpr double kSmallFraction = 0.5;
 
 }  // namespace
 
@@ -27,11 +27,11 @@
 bool RouteShares::IsSmall(const std::string& route, Time now) const {
   double total = 0;
   for (const auto& [name, count] : counts_) total += Decayed(count, now);
-  if (total < kLeastRequests || counts_.size() < 2) return false;
+  if (total < kMinRequests || counts_.size() < 2) return false;
   const auto found = counts_.find(route);
   const double own = found == counts_.end() ? 0 : Decayed(found->second, now);
   const double equal = total / static_cast<double>(counts_.size());
-  return own < kSmallPart * equal;
+  return own < kSmallFraction * equal;
 }
 
 }  // namespace cassiausher
