--- a/tests/entry/endpoint_pool_test.cc
+++ b/tests/entry/endpoint_pool_test.cc
@@ -1,5 +1,5 @@
-// Guards where requests go: away from departing, dark, slow, failing and full
-// endpoints, and to the own data centre otherwise.
+// Guards against placement on departing, unreachable, slow, failing and full
+// endpoints, and against needless traffic to other data centres.
 #include "servers/entry/endpoint_pool.h"
 
 #include <CppUTest/TestHarness.h>
@@ -57,13 +57,13 @@
   }
 };
 
-TEST(EndpointPool, PrefersTheOwnDataCentre) {
+TEST(EndpointPool, PrefersItsOwnDataCentre) {
   pool.Merge(Plain("a", "there"), kStart);
   pool.Merge(Plain("b", "here"), kStart);
   STRCMP_EQUAL("b", PickId(Lookup(), kStart).c_str());
 }
 
-TEST(EndpointPool, ADepartingEndpointGetsNothing) {
+TEST(EndpointPool, ADrainingEndpointGetsNoWork) {
   EndpointRecord record = Plain("a", "here");
   pool.Merge(record, kStart);
   record.state = EndpointLifecycle::kDraining;
@@ -72,8 +72,8 @@
   STRCMP_EQUAL("none", PickId(Lookup(), kStart).c_str());
 }
 
-// A control instance that started anew tells of a runner that has departed.
-TEST(EndpointPool, AnOlderWordDoesNotBringAnEndpointBack) {
+// A restarted control instance sends a stale record of a departed runner.
+TEST(EndpointPool, AStaleRecordDoesNotRestoreADepartedEndpoint) {
   EndpointRecord record = Plain("a", "here");
   record.state = EndpointLifecycle::kDeparted;
   record.sequence = 5;
@@ -82,21 +82,21 @@
   STRCMP_EQUAL("none", PickId(Lookup(), kStart).c_str());
 }
 
-// Pattern: runners go dark; connections to them hang.
-TEST(EndpointPool, OneFailedConnectionMovesTheLoadAway) {
+// Runners become unreachable, and connections to them hang.
+TEST(EndpointPool, OneFailedConnectionOpensTheCircuit) {
   pool.Merge(Plain("dark", "here"), kStart);
   pool.Merge(Plain("sound", "there"), kStart);
   Finish("dark", WorkOutcome::kUnreachable, Milliseconds(250), kStart);
   STRCMP_EQUAL("sound", PickId(Lookup(), kStart).c_str());
-  // Later one trial at a time finds out whether it is back.
+  // After the backoff, one trial request at a time probes the endpoint.
   const Time later = kStart + Seconds(30);
   STRCMP_EQUAL("dark", PickId(Lookup(), later).c_str());
   pool.OnStart(EndpointId("dark"), Lookup(), later);
   STRCMP_EQUAL("sound", PickId(Lookup(), later).c_str());
 }
 
-// Pattern: runners turn slow.
-TEST(EndpointPool, ASlowEndpointGetsLess) {
+// Runners become slow.
+TEST(EndpointPool, ASlowEndpointIsAvoided) {
   pool.Merge(Plain("slow", "here"), kStart);
   pool.Merge(Plain("sound", "there"), kStart);
   for (int i = 0; i < 4; ++i) {
@@ -105,8 +105,8 @@
   STRCMP_EQUAL("sound", PickId(Lookup(), kStart).c_str());
 }
 
-// Pattern: runners fail part of their requests while their health is good.
-TEST(EndpointPool, AFailingEndpointGetsLess) {
+// Runners fail some of their requests although they report good health.
+TEST(EndpointPool, AFailingEndpointIsAvoidedUntilTheFailureDecays) {
   pool.Merge(Plain("grey", "here"), kStart);
   pool.Merge(Plain("sound", "there"), kStart);
   Finish("grey", WorkOutcome::kServerError, Milliseconds(10), kStart);
@@ -114,36 +114,36 @@
   STRCMP_EQUAL("grey", PickId(Lookup(), kStart + Seconds(60)).c_str());
 }
 
-TEST(EndpointPool, ASilentEndpointIsTheLastResort) {
+TEST(EndpointPool, ASilentEndpointIsOnlyTheLastResort) {
   pool.Merge(Plain("silent", "here"), kStart);
   pool.SetSilent("control", {EndpointId("silent")}, kStart);
   STRCMP_EQUAL("silent", PickId(Lookup(), kStart).c_str());
   pool.Merge(Plain("heard", "there"), kStart);
   STRCMP_EQUAL("heard", PickId(Lookup(), kStart).c_str());
-  // Another control instance still hears of it.
+  // Another control instance still receives its heartbeats.
   pool.SetSilent("other control", {}, kStart);
   STRCMP_EQUAL("silent", PickId(Lookup(), kStart).c_str());
 }
 
-// The leader ordered the runner to change; only it knows, and the runner
-// rejects all work until it is done.
-TEST(EndpointPool, AChangingRunnerGetsNothing) {
+// The leader ordered a runner to change its role, which the other control
+// instances don't know of. The runner rejects all work until it has changed.
+TEST(EndpointPool, ARunnerThatChangesItsRoleGetsNoWork) {
   pool.Merge(Decoder("a"), kStart);
   pool.SetChanging(EndpointId("a"), kStart + Seconds(1));
   STRCMP_EQUAL("none", PickId(Stream(), kStart).c_str());
   STRCMP_EQUAL("a", PickId(Stream(), kStart + Seconds(2)).c_str());
 }
 
-// An address is used again by another endpoint.
-TEST(EndpointPool, AMisplacedEndpointIsLeftOut) {
+// The endpoint's address is reused by another endpoint.
+TEST(EndpointPool, AMisplacedEndpointIsExcluded) {
   pool.Merge(Plain("old", "here"), kStart);
   Finish("old", WorkOutcome::kMisplaced, Milliseconds(2), kStart);
   STRCMP_EQUAL("none", PickId(Lookup(), kStart).c_str());
 }
 
-// Pattern: a burst of streams; each entry instance sees only its own, and a
-// runner whose memory is full preempts or rejects.
-TEST(EndpointPool, StreamsGoWhereMemoryIsLeft) {
+// In a burst, an entry instance that counts only its own streams overfills
+// runners, which then preempt or reject streams.
+TEST(EndpointPool, StreamsArePlacedByFreeMemoryOverAllInstances) {
   pool.Merge(Decoder("a"), kStart);
   pool.Merge(Decoder("b"), kStart);
   pool.SetOtherLoads({{EndpointId("a"), {8, Hold(60000)}}}, 5, kStart);
@@ -153,14 +153,14 @@
   }
   STRCMP_EQUAL("a", PickId(Stream(), kStart).c_str());
   DOUBLES_EQUAL(0.67, pool.Pick(Stream(), kStart)->occupancy, 0.001);
-  // An old word on others' loads doesn't count.
+  // Loads of other instances expire.
   DOUBLES_EQUAL(0.07, pool.Pick(Stream(), kStart + Seconds(9))->occupancy,
                 0.001);
 }
 
-// Pattern: all control processes are killed. Each entry instance then knows
-// only its own streams, and together they must not overfill runners.
-TEST(EndpointPool, WithoutAWordOthersAreTakenToDoAsThisInstance) {
+// Without control instances, each entry instance knows only its own streams,
+// and all instances together could overfill runners.
+TEST(EndpointPool, WithoutCurrentLoadsOthersAreAssumedToHaveTheSameLoad) {
   pool.Merge(Decoder("a"), kStart);
   pool.SetOtherLoads({}, 5, kStart);
   pool.OnStart(EndpointId("a"), Stream(), kStart);
@@ -169,22 +169,23 @@
                 0.001);
 }
 
-// Pattern: a burst; what other instances placed a moment ago counts already.
-TEST(EndpointPool, PlacementsOfOthersCountAtOnce) {
+// In a burst, placements of other instances since their last load report must
+// count, or all instances choose the same runner.
+TEST(EndpointPool, PlacementsOfOtherInstancesCountAtOnce) {
   pool.Merge(Decoder("a"), kStart);
   pool.Merge(Decoder("b"), kStart);
   pool.SetOtherLoads({{EndpointId("b"), {1, Hold(10000)}}}, 5, kStart);
   STRCMP_EQUAL("a", PickId(Stream(), kStart).c_str());
   pool.AddOtherLoads({{EndpointId("a"), {2, Hold(20000)}}});
   STRCMP_EQUAL("b", PickId(Stream(), kStart).c_str());
-  // A whole word on others' loads replaces them.
+  // A full load report replaces the added placements.
   pool.SetOtherLoads({{EndpointId("b"), {1, Hold(10000)}}}, 5, kStart);
   STRCMP_EQUAL("a", PickId(Stream(), kStart).c_str());
 }
 
-// Pattern: a burst; hundreds of milliseconds pass while prompts are read, and
-// the room meant for them must not be given to others.
-TEST(EndpointPool, ReservedRoomIsTakenAndToldOnce) {
+// In a burst, prefill takes hundreds of milliseconds, in which the memory for a
+// stream must not be given to other streams.
+TEST(EndpointPool, AReservationCountsAndIsPublishedOnce) {
   pool.Merge(Decoder("a"), kStart);
   pool.Merge(Decoder("b"), kStart);
   WorkSpec stream = Stream();
@@ -192,7 +193,7 @@
   LONGS_EQUAL(1, pool.TakePlaced()[EndpointId("a")].requests);
   LONGS_EQUAL(7000, pool.OwnLoads()[EndpointId("a")].memory.Now().value());
   STRCMP_EQUAL("b", PickId(stream, kStart).c_str());
-  // Its own stream finds the room, whatever came to other runners.
+  // The reserving stream is placed there although the other runner is emptier.
   pool.Release(EndpointId("a"), stream.memory);
   stream.reserved_at = EndpointId("a");
   pool.AddOtherLoads({{EndpointId("a"), {1, Hold(20000)}}});
@@ -201,8 +202,8 @@
   CHECK_TRUE(pool.TakePlaced().empty());
 }
 
-// The runner filled up meanwhile, or left.
-TEST(EndpointPool, ReservedRoomThatIsGoneIsLookedForElsewhere) {
+// The reserved runner has become full in the meantime.
+TEST(EndpointPool, AStreamWhoseReservedRunnerIsFullIsPlacedElsewhere) {
   pool.Merge(Decoder("a"), kStart);
   pool.Merge(Decoder("b"), kStart);
   WorkSpec stream = Stream();
@@ -211,9 +212,9 @@
   STRCMP_EQUAL("b", PickId(stream, kStart).c_str());
 }
 
-// Pattern: two prefill runners are left. Instances that don't hear of each
-// other's prompts send them all to the same one.
-TEST(EndpointPool, PromptsOfOthersCountAtOnce) {
+// With two prefill runners left, instances that don't know each other's prompts
+// would send all of them to the same runner.
+TEST(EndpointPool, PromptsOfOtherInstancesCountAtOnce) {
   EndpointRecord first = Decoder("a");
   EndpointRecord second = Decoder("b");
   first.role = second.role = EndpointRole::kPrefill;
@@ -231,16 +232,17 @@
   LONGS_EQUAL(5000, pool.TakePlaced()[EndpointId("b")].memory.Now().value());
 }
 
-TEST(EndpointPool, PlacedStreamsAreToldOnce) {
+TEST(EndpointPool, PlacedStreamsArePublishedOnce) {
   pool.Merge(Decoder("a"), kStart);
   pool.OnStart(EndpointId("a"), Stream(), kStart);
   LONGS_EQUAL(7000, pool.TakePlaced()[EndpointId("a")].memory.Now().value());
   CHECK_TRUE(pool.TakePlaced().empty());
 }
 
-// Pattern: many users come at once. Streams that are about to end make room for
-// new ones; answers that grew beyond what was expected take it.
-TEST(EndpointPool, ProgressOfStreamsMovesNewOnes) {
+// Under high load, streams that are about to end free memory for new ones, and
+// outputs that exceed their expected length take it. A forecast that ignores
+// progress would place new streams on the wrong runner.
+TEST(EndpointPool, ProgressOfStreamsChangesPlacement) {
   pool.Merge(Decoder("ending"), kStart);
   pool.Merge(Decoder("growing"), kStart);
   WorkSpec ending = Stream();
@@ -264,7 +266,7 @@
   CHECK_TRUE(pool.OwnLoads().empty());
 }
 
-TEST(EndpointPool, OwnLoadsEndWithTheWork) {
+TEST(EndpointPool, OwnLoadsAreRemovedWhenTheWorkFinishes) {
   pool.Merge(Decoder("a"), kStart);
   pool.OnStart(EndpointId("a"), Stream(), kStart);
   LONGS_EQUAL(7000, pool.OwnLoads()[EndpointId("a")].memory.Peak().value());
--- a/tests/entry/event_splitter_test.cc
+++ b/tests/entry/event_splitter_test.cc
@@ -1,5 +1,5 @@
-// Guards streams that break inside an event: the caller gets whole events, each
-// once and in order.
+// Guards against partial, duplicate and reordered events when a stream breaks
+// inside an event and resumes at another endpoint.
 #include "servers/entry/event_splitter.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,29 +12,29 @@
 
 TEST_GROUP(EventSplitter) { EventSplitter splitter; };
 
-TEST(EventSplitter, GivesOutWholeEvents) {
+TEST(EventSplitter, ReturnsOnlyCompleteEvents) {
   STRCMP_EQUAL("", splitter.Feed("id: 1\ndata: a").c_str());
   STRCMP_EQUAL("id: 1\ndata: ab\n\n", splitter.Feed("b\n\nid").c_str());
   LONGS_EQUAL(1, splitter.last_id().value());
   STRCMP_EQUAL("id", splitter.incomplete_event().c_str());
 }
 
-TEST(EventSplitter, DropsWhatTheCallerHas) {
+TEST(EventSplitter, DropsEventsThatTheCallerHas) {
   EventSplitter resumed(std::optional<std::int64_t>(2));
   STRCMP_EQUAL("id: 3\n\n", resumed.Feed("id: 2\n\nid: 3\n\n").c_str());
 }
 
-TEST(EventSplitter, TakesBothLineEnds) {
+TEST(EventSplitter, AcceptsCrLfLineEndings) {
   STRCMP_EQUAL("id: 1\r\n\r\n", splitter.Feed("id: 1\r\n\r\n").c_str());
   LONGS_EQUAL(1, splitter.last_id().value());
 }
 
-TEST(EventSplitter, AnEventWithoutIdIsPassedOn) {
+TEST(EventSplitter, PassesOnAnEventWithoutId) {
   STRCMP_EQUAL("data: x\n\n", splitter.Feed("data: x\n\n").c_str());
   CHECK_FALSE(splitter.last_id().has_value());
 }
 
-TEST(EventSplitter, AnyCutAndResumeGivesTheWholeStream) {
+TEST(EventSplitter, ResumeAfterAnyCutYieldsTheWholeStream) {
   std::string whole;
   for (int id = 1; id <= 20; ++id) {
     whole += "id: " + std::to_string(id) +
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -1,5 +1,5 @@
-// Guards what may be repeated, what a caller is told, and how long a request
-// waits: the promises of at most once and of "not run".
+// Guards against a second run of a request that must run at most once, a wrong
+// "not run" response, and requests that wait too long for capacity.
 #include "servers/entry/request_forwarder.h"
 
 #include <CppUTest/TestHarness.h>
@@ -15,12 +15,12 @@
 
 constexpr Time kStart{Seconds(100)};
 
-EndpointRecord Endpoint(const std::string& id, EndpointRole stage) {
+EndpointRecord Endpoint(const std::string& id, EndpointRole role) {
   return {.id = EndpointId(id),
           .service = ServiceId("s"),
           .address = "10.0.0.1:80",
           .data_centre = DataCentreId("here"),
-          .role = stage,
+          .role = role,
           .slots = 6,
           .born = Incarnation(1),
           .sequence = 1};
@@ -80,17 +80,17 @@
   }
 };
 
-TEST(RequestForwarder, ABrokenCallOfANonIdempotentRequestIsTheEnd) {
+TEST(RequestForwarder, ABrokenCallOfANonIdempotentRequestIsNotRetried) {
   AddPlain(3);
   RequestForwarder forwarder = Make(Facts(RouteKind::kNonIdempotent, 3));
   CHECK_TRUE(Is<StartCall>(forwarder.Start(kStart)));
   const ForwardStep end = forwarder.OnCallFailed(CallFailure::kBroken, kStart);
-  // It may have run: neither a refusal nor another run.
+  // It may have run, so it is neither refused nor run again.
   CHECK_TRUE(Is<Fail>(end));
   LONGS_EQUAL(502, std::get<Fail>(end).status);
 }
 
-TEST(RequestForwarder, WhatWasNotSentGoesElsewhere) {
+TEST(RequestForwarder, ARequestThatWasNotSentIsSentToAnotherEndpoint) {
   AddPlain(2);
   RequestForwarder forwarder = Make(Facts(RouteKind::kNonIdempotent, 1));
   const std::string first = Call(forwarder.Start(kStart)).endpoint.id.value();
@@ -100,7 +100,7 @@
   CHECK_FALSE(Call(next).endpoint.id.value() == first);
 }
 
-TEST(RequestForwarder, WhatNobodyRanIsRefusedWithATime) {
+TEST(RequestForwarder, ARequestThatNoEndpointExecutedIsRefusedWithRetryAfter) {
   AddPlain(2);
   RequestForwarder forwarder = Make(Facts(RouteKind::kNonIdempotent, 1));
   forwarder.Start(kStart);
@@ -111,12 +111,12 @@
   CHECK_TRUE(std::get<Refuse>(end).retry_after > Duration(0));
 }
 
-TEST(RequestForwarder, WithoutEndpointsARequestIsRefusedAtOnce) {
+TEST(RequestForwarder, ARequestWithoutEndpointsIsRefusedAtOnce) {
   RequestForwarder forwarder = Make(Facts(RouteKind::kIdempotent, 2));
   CHECK_TRUE(Is<Refuse>(forwarder.Start(kStart)));
 }
 
-TEST(RequestForwarder, AnIdempotentRequestIsRepeatedWithinItsAttempts) {
+TEST(RequestForwarder, AnIdempotentRequestIsRetriedUpToItsAttempts) {
   AddPlain(3);
   RequestForwarder forwarder = Make(Facts(RouteKind::kIdempotent, 2));
   const ForwardStep first = forwarder.Start(kStart);
@@ -124,29 +124,29 @@
   const ForwardStep second =
       forwarder.OnCallFailed(CallFailure::kBroken, kStart);
   CHECK_TRUE(Is<StartCall>(second));
-  // The last attempt has all the time that is left.
+  // The last attempt is limited by the deadline only.
   CHECK_TRUE(Call(second).answer_timeout == Duration(0));
   CHECK_TRUE(Is<Fail>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
 }
 
-// Pattern: callers repeat at once and often. Repeats of our own must not add to
-// it beyond the budget.
-TEST(RequestForwarder, TheRetryBudgetBoundsRepeats) {
+// Callers retry at once and often. Retries of the entry instance must not add
+// more load than the budget allows.
+TEST(RequestForwarder, TheRetryBudgetLimitsRetries) {
   AddPlain(3);
   budget = RetryBudget(RetryBudgetOptions{.ratio = 0.2, .floor_per_second = 0});
-  int repeats = 0;
+  int retries = 0;
   for (int i = 0; i < 100; ++i) {
     RequestForwarder forwarder = Make(Facts(RouteKind::kIdempotent, 2));
     if (!Is<StartCall>(forwarder.Start(kStart))) continue;
     if (Is<StartCall>(forwarder.OnCallFailed(CallFailure::kBroken, kStart))) {
-      ++repeats;
+      ++retries;
     }
   }
-  CHECK_TRUE(repeats > 0);
-  CHECK_TRUE(repeats <= 20);
+  CHECK_TRUE(retries > 0);
+  CHECK_TRUE(retries <= 20);
 }
 
-TEST(RequestForwarder, APromptIsReadThenDecoded) {
+TEST(RequestForwarder, APromptIsPrefilledThenDecoded) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   const ForwardStep first = forwarder.Start(kStart);
@@ -159,8 +159,8 @@
               0);
 }
 
-// A full runner doesn't take the handle; another may.
-TEST(RequestForwarder, ARejectedHandleIsOfferedElsewhere) {
+// A full decode runner rejects the KV handle; another one may accept it.
+TEST(RequestForwarder, ARejectedHandleIsOfferedToAnotherRunner) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   forwarder.Start(kStart);
@@ -171,8 +171,8 @@
   CHECK_TRUE(Call(next).kv_source.has_value());
 }
 
-// Pattern: handles lapse at once.
-TEST(RequestForwarder, ALapsedHandleIsNotOffered) {
+// KV handles expire soon after prefill.
+TEST(RequestForwarder, AnExpiredHandleIsNotUsed) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   forwarder.Start(kStart);
@@ -183,7 +183,7 @@
   CHECK_FALSE(Call(next).kv_source.has_value());
 }
 
-TEST(RequestForwarder, AFailedPrefillEndsWithTheDecodeRunner) {
+TEST(RequestForwarder, AFailedPrefillFallsBackToTheDecodeRunner) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   forwarder.Start(kStart);
@@ -192,16 +192,17 @@
   CHECK_TRUE(Call(next).endpoint.role == EndpointRole::kDecode);
 }
 
-// The prompt is read again at a prefill runner: a decode runner that reads it
-// would hold up its other streams.
-TEST(RequestForwarder, AResumableStreamGoesOnElsewhere) {
+// The prompt is prefilled again on a prefill runner: on the decode runner, it
+// would stall the other streams.
+TEST(RequestForwarder, ABrokenResumableStreamResumesOnAnotherRunner) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(true));
   forwarder.Start(kStart);
   const ForwardStep run = forwarder.OnPrefillDone({"10.0.0.1:80", "h"}, kStart);
   forwarder.OnRelayed();
-  const ForwardStep read = forwarder.OnCallFailed(CallFailure::kBroken, kStart);
-  CHECK_TRUE(Call(read).kind == CallKind::kPrefill);
+  const ForwardStep prefill =
+      forwarder.OnCallFailed(CallFailure::kBroken, kStart);
+  CHECK_TRUE(Call(prefill).kind == CallKind::kPrefill);
   const ForwardStep next =
       forwarder.OnPrefillDone({"10.0.0.1:80", "i"}, kStart);
   CHECK_TRUE(Call(next).kind == CallKind::kRun);
@@ -210,10 +211,10 @@
       Is<AbortStream>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
 }
 
-// A link loses packets and many streams fall silent at once: without a budget
-// to go on elsewhere, ending them would lose them (hunt-8ad5-31 of
+// A link loses packets, and many streams stall at once. Ending a stalled stream
+// without enough retry budget to fail over would lose it (hunt-8ad5-31 of
 // kfl-fitting).
-TEST(RequestForwarder, ASilentRunStaysIfItCantGoOnElsewhere) {
+TEST(RequestForwarder, AStalledRunIsKeptIfItCantFailOver) {
   AddRunners();
   budget = RetryBudget(RetryBudgetOptions{.ratio = 0, .floor_per_second = 0.1});
   RequestForwarder forwarder = Make(StreamFacts(true));
@@ -229,8 +230,8 @@
   CHECK_FALSE(once.CanFailOver(kStart));
 }
 
-// Pattern: a runner dies while the others are full.
-TEST(RequestForwarder, AStreamThatBeganGoesOnWhateverTheLoad) {
+// A runner dies while the others are full.
+TEST(RequestForwarder, AStartedStreamResumesAtAnyLoad) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(true));
   forwarder.Start(kStart);
@@ -243,7 +244,7 @@
       forwarder.OnCallFailed(CallFailure::kBroken, kStart + Seconds(2))));
 }
 
-TEST(RequestForwarder, AStreamThatBeganIsBrokenOffNotAnswered) {
+TEST(RequestForwarder, AStartedStreamIsAbortedOnFailure) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   forwarder.Start(kStart);
@@ -254,9 +255,9 @@
   CHECK_TRUE(Is<AbortStream>(forwarder.OnDeadline()));
 }
 
-// Pattern: a burst of streams beyond the runners' memory. A request waits
-// while it can still be in time, then its caller is told when to come back.
-TEST(RequestForwarder, ABurstWaitsForRoomThenIsRefused) {
+// A burst exceeds the runners' memory. A request waits for as long as it can
+// still meet its latency target; then the caller is told when to retry.
+TEST(RequestForwarder, ARequestWaitsForCapacityThenIsRefused) {
   AddRunners();
   pool.SetOtherLoads({{EndpointId("decode1"), {9, Hold(99000)}},
                       {EndpointId("decode2"), {9, Hold(99000)}}},
@@ -270,9 +271,9 @@
   CHECK_TRUE(std::get<Refuse>(end).retry_after >= Seconds(1));
 }
 
-// Pattern: a burst of a large route. The few requests of a small one find the
-// room that is kept free.
-TEST(RequestForwarder, ASmallRouteIsNotCrowdedOut) {
+// In a burst of a large route, the few requests of a small route use the memory
+// that is kept free.
+TEST(RequestForwarder, ASmallRouteIsNotStarvedByALargeOne) {
   AddRunners();
   pool.SetOtherLoads({{EndpointId("decode1"), {9, Hold(85000)}},
                       {EndpointId("decode2"), {9, Hold(85000)}}},
@@ -285,9 +286,9 @@
   CHECK_TRUE(Is<StartCall>(small.Start(kStart)));
 }
 
-// Pattern: streams at all points of their answers. The caller's prompt and what
-// is left of its answer count, not what it wrote before.
-TEST(RequestForwarder, MemoryFollowsTheAnswer) {
+// The forecast must follow a stream's progress: it covers the prompt, the
+// tokens generated so far and the remaining output.
+TEST(RequestForwarder, TheMemoryForecastFollowsTheGeneratedTokens) {
   RequestFacts facts = StreamFacts(true);
   facts.output = Tokens(8000);
   RequestForwarder forwarder = Make(facts);
@@ -295,15 +296,15 @@
   CHECK_TRUE(forwarder.Memory().Peak() > Tokens(11000));
   forwarder.OnTokensGenerated(Tokens(7500));
   LONGS_EQUAL(12500, forwarder.Memory().Now().value());
-  // Longer than expected: it goes on for a while.
+  // An output that exceeds its expected length is assumed to go on growing.
   forwarder.OnTokensGenerated(Tokens(9000));
   CHECK_TRUE(forwarder.Memory().Peak() > Tokens(15000));
 }
 
-// Pattern: all callers come back after a loss of power, and an instance that
-// has just started knows nothing of the prompts that wait. Reading one again
-// elsewhere would make the queue longer.
-TEST(RequestForwarder, APromptMayWaitBehindThoseOfOthers) {
+// All callers return after a power loss, and a restarted instance doesn't know
+// the queue of prompts. A prefill timeout that ignores the queue would send
+// prompts to a second runner and make the queues longer.
+TEST(RequestForwarder, ThePrefillTimeoutAllowsForQueuedPrompts) {
   AddRunners();
   RequestForwarder forwarder = Make(StreamFacts(false));
   const ForwardStep step = forwarder.Start(kStart);
@@ -311,9 +312,9 @@
   CHECK_TRUE(Call(step).answer_timeout > StreamFacts(false).latency_target);
 }
 
-// Pattern: a burst where answers are hard to foresee. A runner with few large
-// streams needs a larger share of its memory free.
-TEST(RequestForwarder, FreeMemoryFollowsWhatIsUnknownOfAnswers) {
+// In a burst of outputs whose lengths are hard to predict, a runner with a few
+// large streams must keep a larger share of its memory free.
+TEST(RequestForwarder, FreeMemoryGrowsWithTheDeviationOfOutputLengths) {
   AddRunners();
   pool.SetOtherLoads({{EndpointId("decode1"), {8, Hold(80000)}},
                       {EndpointId("decode2"), {8, Hold(80000)}}},
@@ -325,9 +326,9 @@
   CHECK_TRUE(Is<WaitForCapacity>(Make(facts).Start(kStart)));
 }
 
-// Pattern: a burst; each stream holds its room while its prompt is read, and
-// gives it back however it ends.
-TEST(RequestForwarder, RoomIsHeldWhileThePromptIsRead) {
+// In a burst, a stream reserves memory while its prompt is prefilled, and the
+// reservation must be released however the stream ends.
+TEST(RequestForwarder, MemoryIsReservedDuringPrefillAndReleased) {
   AddRunners();
   {
     RequestForwarder forwarder = Make(StreamFacts(false));
@@ -345,9 +346,9 @@
   CHECK_TRUE(pool.OwnLoads().empty());
 }
 
-// Pattern: a burst far beyond the runners' memory. Those who can't be in time
-// are told at once.
-TEST(RequestForwarder, ALongQueueIsRefusedAtOnce) {
+// A burst far exceeds the runners' memory. Requests that can't meet their
+// latency target must be refused at once.
+TEST(RequestForwarder, ARequestIsRefusedAtOnceIfTheQueueIsLong) {
   AddRunners();
   pool.SetOtherLoads({{EndpointId("decode1"), {9, Hold(99000)}},
                       {EndpointId("decode2"), {9, Hold(99000)}}},
@@ -361,14 +362,14 @@
   }
   CHECK_TRUE(Is<Refuse>(step));
   CHECK_TRUE(waiting.size() < 10);
-  // Room in the queue comes back with those who leave it.
+  // Requests that end leave the queue.
   waiting.clear();
   LONGS_EQUAL(0, pool.waiting());
 }
 
-// Any sequence of failures: a request that can't be repeated is never sent
-// again once it may have run, and a refusal is only given if none ran.
-TEST(RequestForwarder, PromisesHoldForAnySequenceOfFailures) {
+// For any sequence of failures: a request that isn't retryable is never sent
+// again once it may have run, and a request is refused only if it never ran.
+TEST(RequestForwarder, NoSecondRunAndNoFalseRefusalInAnySequenceOfFailures) {
   AddRunners();
   for (std::uint64_t seed = 1; seed <= 4000; ++seed) {
     Random random(seed);
--- a/tests/entry/route_shares_test.cc
+++ b/tests/entry/route_shares_test.cc
@@ -1,5 +1,5 @@
-// Guards small routes in overload: triage notes that come once a minute must
-// not be crowded out by reviews that come ten times a second.
+// Guards against starvation of small routes in overload, such as triage notes
+// once a minute beside reviews ten times a second.
 #include "servers/entry/route_shares.h"
 
 #include <CppUTest/TestHarness.h>
@@ -20,7 +20,7 @@
   CHECK_FALSE(shares.IsSmall("reviews", kStart));
 }
 
-TEST(RouteShares, EqualRoutesAreNot) {
+TEST(RouteShares, EqualRoutesAreNotSmall) {
   for (int i = 0; i < 20; ++i) {
     shares.OnRequest("a", kStart);
     shares.OnRequest("b", kStart);
@@ -29,15 +29,15 @@
   CHECK_FALSE(shares.IsSmall("b", kStart));
 }
 
-TEST(RouteShares, FewRequestsSayNothing) {
+TEST(RouteShares, NoRouteIsSmallWhileThereAreFewRequests) {
   shares.OnRequest("a", kStart);
   shares.OnRequest("a", kStart);
   shares.OnRequest("b", kStart);
   CHECK_FALSE(shares.IsSmall("b", kStart));
 }
 
-// A route that grows loses its preference.
-TEST(RouteShares, OldRequestsAreForgotten) {
+// A route that has become large loses its preference.
+TEST(RouteShares, OldRequestsDecay) {
   for (int i = 0; i < 40; ++i) shares.OnRequest("reviews", kStart);
   const Time later = kStart + Seconds(120);
   for (int i = 0; i < 20; ++i) shares.OnRequest("notes", later);
