--- a/servers/entry/endpoint_pool.cc
+++ b/servers/entry/endpoint_pool.cc
@@ -9,37 +9,39 @@
 namespace cassiausher {
 namespace {
 
-// Costs assumed until something is observed. A decode runner reads a prompt at
+// Costs assumed until some are observed. A decode runner prefills a prompt at
 // half the speed of a prefill runner.
 constexpr double kPrefillTokenUs = 18;
 constexpr double kDecodeTokenUs = 36;
 constexpr double kPlainRequestUs = 15000;
-// Tokens of reading that a decode takes the time of, as a share of the prompt.
-constexpr std::int64_t kDecodeShare = 8;
-// Weight of the newest observation.
+// Decoding from a fetched KV cache is assumed to take the time of prefilling
+// this fraction of the prompt.
+constexpr std::int64_t kDecodeCostDivisor = 8;
+// Weight of the newest observation in moving averages.
 constexpr double kObservationWeight = 0.25;
-// An answer that says that the endpoint failed, against a connection that
-// breaks: some requests fail wherever they run.
+// Weight of a server error as a failure, where a broken connection counts 1.
+// Lower, since some requests fail at any endpoint.
 constexpr double kServerErrorWeight = 0.25;
-// Loads of other instances count this long without a new word.
+// Loads of other instances are valid for this long without an update.
 constexpr Duration kLoadLifetime = Seconds(2);
-// An endpoint at whose address another answered is left out this long; the
-// registry learns of the change meanwhile.
-constexpr Duration kMisplacedPause = Seconds(5);
-// A runner that had no room is passed over this long.
-constexpr Duration kFullPause = Milliseconds(150);
-// Weight of KV memory in use, as waiting time for a full runner: a crowded
-// runner makes tokens slowly and preempts requests.
-constexpr double kOccupancyUs = 120000;
-constexpr double kFullUs = 2e6;
-// Occupancy reported for a runner that just had no room.
+// An endpoint whose address another endpoint has is excluded for this long,
+// until the registry has learned of the change.
+constexpr Duration kMisplacedExclusion = Seconds(5);
+// A runner that rejected a request counts as full for this long.
+constexpr Duration kFullBackoff = Milliseconds(150);
+// Penalty for occupancy, as the latency that full occupancy is worth: a highly
+// loaded runner generates tokens slowly and preempts requests.
+constexpr double kOccupancyPenaltyUs = 120000;
+// Penalty for a runner that counts as full.
+constexpr double kFullPenaltyUs = 2e6;
+// Minimum occupancy reported for a runner that just rejected a request.
 constexpr double kOverFull = 1.01;
-// Added to the score of endpoints that should only be used when no other is
-// left; above any expected time.
-constexpr double kLastResortUs = 1e9;
+// Penalty for endpoints that are used only if there is no other; above any
+// expected time.
+constexpr double kLastResortPenaltyUs = 1e9;
 
 constexpr CircuitBreakerOptions kBreakerOptions = {
-    // A connection that can't be made is rare on a sound endpoint.
+    // One failure is enough: connections to a healthy endpoint rarely fail.
     .consecutive_failures = 1,
     .failure_ratio = 0.6,
     .window_calls = 6,
@@ -84,26 +86,27 @@
   }
 }
 
-EndpointPool::Entry::Entry(const EndpointRecord& heard, std::uint64_t seed)
-    : record(heard), breaker(BreakerOptions(seed)) {}
+EndpointPool::Entry::Entry(const EndpointRecord& update, std::uint64_t seed)
+    : record(update), breaker(BreakerOptions(seed)) {}
 
 EndpointPool::EndpointPool(EndpointPoolOptions options)
     : options_(std::move(options)), random_(options_.random_seed) {}
 
-void EndpointPool::Merge(const EndpointRecord& heard, Time now) {
-  const std::uint64_t seed = std::hash<std::string>{}(heard.id.value());
+void EndpointPool::Merge(const EndpointRecord& update, Time now) {
+  const std::uint64_t seed = std::hash<std::string>{}(update.id.value());
   const auto [found, added] =
-      entries_.try_emplace(heard.id, Entry(heard, seed));
+      entries_.try_emplace(update.id, Entry(update, seed));
   Entry& entry = found->second;
   if (added) {
     entry.changed_at = now;
     return;
   }
-  const Incarnation born = entry.record.incarnation;
-  if (!cassiausher::Merge(heard, &entry.record)) return;
+  const Incarnation old_incarnation = entry.record.incarnation;
+  if (!cassiausher::Merge(update, &entry.record)) return;
   entry.changed_at = now;
-  // A new incarnation has nothing of what was observed before.
-  if (entry.record.incarnation == born) return;
+  // Observations of the old incarnation don't apply to the new one; work in
+  // flight and reservations are kept.
+  if (entry.record.incarnation == old_incarnation) return;
   const int in_flight = entry.in_flight;
   const int reserved = entry.reserved;
   const Tokens tokens = entry.in_flight_tokens;
@@ -133,45 +136,45 @@
            now - item.second.changed_at >= options_.tombstone_lifetime;
   });
   std::erase_if(silent_, [&](const auto& item) {
-    return now - item.second.said_at >= options_.tombstone_lifetime;
+    return now - item.second.reported_at >= options_.tombstone_lifetime;
   });
 }
 
 bool EndpointPool::IsSilent(const EndpointId& id, Time now) const {
-  bool said = false;
-  for (const auto& [control, view] : silent_) {
-    if (now - view.said_at >= options_.silence_lifetime) continue;
-    // Some control instance still hears of it.
-    if (!view.endpoints.contains(id)) return false;
-    said = true;
+  bool reported = false;
+  for (const auto& [control, report] : silent_) {
+    if (now - report.reported_at >= options_.silence_lifetime) continue;
+    // This control instance still receives its heartbeats.
+    if (!report.endpoints.contains(id)) return false;
+    reported = true;
   }
-  return said;
+  return reported;
 }
 
-Tokens EndpointPool::TokensToRead(const WorkSpec& work) {
-  if (!work.prompt_is_read) return work.prompt;
-  return Tokens(work.prompt.value() / kDecodeShare);
+Tokens EndpointPool::PrefillCost(const WorkSpec& work) {
+  if (!work.prompt_is_prefilled) return work.prompt;
+  return Tokens(work.prompt.value() / kDecodeCostDivisor);
 }
 
-double EndpointPool::Memory(const Entry& entry, Time now) const {
+double EndpointPool::ObservationDecay(const Entry& entry, Time now) const {
   const double age = ToSeconds(now - entry.observed_at);
-  return std::exp2(-age / ToSeconds(options_.memory_half_life));
+  return std::exp2(-age / ToSeconds(options_.observation_half_life));
 }
 
 double EndpointPool::UnitCost(const Entry& entry, const WorkSpec& work,
                               Time now) const {
   const double assumed = DefaultUnitCost(entry.record, work);
   if (entry.unit_cost_us <= 0) return assumed;
-  const double memory = Memory(entry, now);
-  return memory * entry.unit_cost_us + (1 - memory) * assumed;
+  const double decay = ObservationDecay(entry, now);
+  return decay * entry.unit_cost_us + (1 - decay) * assumed;
 }
 
-Duration EndpointPool::Expected(const Entry& entry, const WorkSpec& work,
-                                Time now) const {
+Duration EndpointPool::ExpectedTime(const Entry& entry, const WorkSpec& work,
+                                    Time now) const {
   const double unit = UnitCost(entry, work, now);
   if (work.prompt.value() > 0) {
-    Tokens tokens = entry.in_flight_tokens + TokensToRead(work);
-    // What others read at a prefill runner comes before this.
+    Tokens tokens = entry.in_flight_tokens + PrefillCost(work);
+    // Prompts that other instances sent to a prefill runner are queued ahead.
     if (entry.record.role == EndpointRole::kPrefill) {
       tokens += OtherLoad(entry, now).memory.Now();
     }
@@ -185,27 +188,27 @@
 
 double EndpointPool::Score(const Entry& entry, const WorkSpec& work,
                            Time now) const {
-  double score = static_cast<double>(Expected(entry, work, now).count());
+  double score = static_cast<double>(ExpectedTime(entry, work, now).count());
   if (entry.record.data_centre != options_.data_centre) {
     score += static_cast<double>(options_.remote_penalty.count());
   }
   const double occupancy = Occupancy(entry, work, now);
-  score += kOccupancyUs * occupancy;
+  score += kOccupancyPenaltyUs * occupancy;
   const bool full = occupancy > work.full_occupancy || now < entry.full_until;
-  if (full) score += kFullUs;
-  score += Memory(entry, now) * entry.failure_share *
+  if (full) score += kFullPenaltyUs;
+  score += ObservationDecay(entry, now) * entry.failure_share *
            static_cast<double>(options_.failure_penalty.count());
-  if (IsSilent(entry.record.id, now)) score += kLastResortUs;
+  if (IsSilent(entry.record.id, now)) score += kLastResortPenaltyUs;
   const CircuitState circuit = entry.breaker.state(now);
-  // A half-open circuit lets one trial through at a time.
-  const bool closed_to_new =
+  // A half-open circuit admits one trial request at a time.
+  const bool circuit_blocks =
       circuit == CircuitState::kOpen ||
       (circuit == CircuitState::kHalfOpen && entry.in_flight > 0);
-  if (closed_to_new) score += kLastResortUs;
+  if (circuit_blocks) score += kLastResortPenaltyUs;
   return score;
 }
 
-const EndpointPool::Entry* EndpointPool::Draw(
+const EndpointPool::Entry* EndpointPool::BetterOfTwo(
     const std::vector<const Entry*>& candidates, const WorkSpec& work,
     Time now) {
   const std::size_t first = random_.Below(candidates.size());
@@ -220,7 +223,7 @@
 std::optional<Placement> EndpointPool::Pick(const WorkSpec& work, Time now) {
   const Entry* best = nullptr;
   double best_score = std::numeric_limits<double>::max();
-  std::vector<const Entry*> with_room;
+  std::vector<const Entry*> usable;
   for (const auto& [id, entry] : entries_) {
     if (entry.record.service != work.service) continue;
     if (entry.record.role != work.role) continue;
@@ -228,17 +231,17 @@
     if (work.excluded.contains(id)) continue;
     if (now < entry.misplaced_until || now < entry.changing_until) continue;
     const double score = Score(entry, work, now);
-    if (score < kFullUs) with_room.push_back(&entry);
+    if (score < kFullPenaltyUs) usable.push_back(&entry);
     if (score >= best_score) continue;
     best = &entry;
     best_score = score;
   }
   if (best == nullptr) return std::nullopt;
-  for (const Entry* entry : with_room) {
+  for (const Entry* entry : usable) {
     if (entry->record.id == work.reserved_at) return Place(*entry, work, now);
   }
   const bool is_model = work.role != EndpointRole::kPlain;
-  if (is_model && with_room.size() > 2) best = Draw(with_room, work, now);
+  if (is_model && usable.size() > 2) best = BetterOfTwo(usable, work, now);
   return Place(*best, work, now);
 }
 
@@ -246,7 +249,7 @@
                               Time now) const {
   double occupancy = Occupancy(entry, work, now);
   if (now < entry.full_until) occupancy = std::max(occupancy, kOverFull);
-  return {entry.record, Expected(entry, work, now), occupancy};
+  return {entry.record, ExpectedTime(entry, work, now), occupancy};
 }
 
 EndpointLoad EndpointPool::OtherLoad(const Entry& entry, Time now) const {
@@ -254,7 +257,8 @@
     const auto found = other_loads_.find(entry.record.id);
     return found == other_loads_.end() ? EndpointLoad{} : found->second;
   }
-  // No control instance is heard; the others do as this instance does.
+  // No current loads from a control instance: assumes that every other instance
+  // has the same load as this one.
   return {(entry.in_flight + entry.reserved) * other_instances_,
           entry.memory.Scaled(other_instances_, 1)};
 }
@@ -301,10 +305,10 @@
                            Time now) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) return;
-  // Counts the trial of a half-open circuit.
+  // Registers the trial request of a half-open circuit.
   found->second.breaker.Allow(now);
   ++found->second.in_flight;
-  found->second.in_flight_tokens += TokensToRead(work);
+  found->second.in_flight_tokens += PrefillCost(work);
   found->second.memory += work.memory;
   if (work.role != EndpointRole::kPlain && work.reserved_at != id) {
     AddLoads({{id, {1, work.memory}}}, &placed_);
@@ -344,24 +348,23 @@
   Entry& entry = found->second;
   const Tokens queued = entry.in_flight_tokens;
   --entry.in_flight;
-  entry.in_flight_tokens -= TokensToRead(work);
+  entry.in_flight_tokens -= PrefillCost(work);
   entry.memory -= work.memory;
   if (outcome == WorkOutcome::kAbandoned) return;
   if (outcome == WorkOutcome::kMisplaced) {
-    entry.misplaced_until = now + kMisplacedPause;
+    entry.misplaced_until = now + kMisplacedExclusion;
     return;
   }
-  if (outcome == WorkOutcome::kRejected) entry.full_until = now + kFullPause;
-  const double memory = Memory(entry, now);
-  entry.failure_share =
-      (1 - kObservationWeight) * memory * entry.failure_share +
-      kObservationWeight * FailureWeight(outcome);
+  if (outcome == WorkOutcome::kRejected) entry.full_until = now + kFullBackoff;
+  const double decay = ObservationDecay(entry, now);
+  entry.failure_share = (1 - kObservationWeight) * decay * entry.failure_share +
+                        kObservationWeight * FailureWeight(outcome);
   if (outcome == WorkOutcome::kUnreachable) {
     entry.breaker.OnFailure(now);
   } else {
     entry.breaker.OnSuccess(now);
   }
-  if (outcome == WorkOutcome::kDone && !work.prompt_is_read) {
+  if (outcome == WorkOutcome::kDone && !work.prompt_is_prefilled) {
     const double units =
         static_cast<double>(std::max<std::int64_t>(1, queued.value()));
     const double sample = static_cast<double>(took.count()) / units;
--- a/servers/entry/event_splitter.cc
+++ b/servers/entry/event_splitter.cc
@@ -6,7 +6,7 @@
 namespace cassiausher {
 namespace {
 
-// Length of the first whole event with its blank line; 0 if there is none.
+// Length of the first complete event and its blank line; 0 if there is none.
 std::size_t EventLength(std::string_view text) {
   const std::size_t plain = text.find("\n\n");
   const std::size_t crlf = text.find("\r\n\r\n");
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-bool EventSplitter::IsNew(std::string_view event) {
+bool EventSplitter::AcceptIfNew(std::string_view event) {
   const std::optional<std::int64_t> id = EventId(event);
   if (!id.has_value()) return true;
   if (last_id_.has_value() && *id <= *last_id_) return false;
@@ -45,21 +45,21 @@
 
 std::string EventSplitter::Feed(std::string_view bytes) {
   buffer_.append(bytes);
-  std::string whole;
+  std::string complete;
   std::size_t start = 0;
   for (;;) {
     const std::string_view rest = std::string_view(buffer_).substr(start);
     const std::size_t length = EventLength(rest);
     if (length == 0) break;
     const std::string_view event = rest.substr(0, length);
-    if (IsNew(event)) {
-      whole.append(event);
+    if (AcceptIfNew(event)) {
+      complete.append(event);
       ++events_;
     }
     start += length;
   }
   buffer_.erase(0, start);
-  return whole;
+  return complete;
 }
 
 }  // namespace cassiausher
