--- a/core/log.cc
+++ b/core/log.cc
@@ -154,7 +154,7 @@
 
 void SetLogFormat(LogFormat format) { log_format = format; }
 
-std::uint64_t LogLinesLeftOut() { return JsonSink::Instance().left_out(); }
+std::uint64_t DroppedLogLines() { return JsonSink::Instance().left_out(); }
 
 void ConfigureLog(LogLevel lowest, std::string instance) {
   lowest_level = lowest;
--- a/core/log.h
+++ b/core/log.h
@@ -47,7 +47,7 @@
 void SetLogFormat(LogFormat format);
 
 /// Lines left out so far; only LogFormat::kJson leaves lines out.
-std::uint64_t LogLinesLeftOut();
+std::uint64_t DroppedLogLines();
 
 /// Returns false if `name` is no level.
 bool ParseLogLevel(std::string_view name, LogLevel* level);
--- a/main/node_main.cc
+++ b/main/node_main.cc
@@ -131,7 +131,7 @@
         HttpServerOptions{.address = settings.ip, .port = kMetricsPort},
         [this](HttpExchangePtr exchange) {
           metrics_.gauge("log_lines_left_out")
-              .Set(static_cast<std::int64_t>(LogLinesLeftOut()));
+              .Set(static_cast<std::int64_t>(DroppedLogLines()));
           exchange->Respond(200, "text/plain; version=0.0.4",
                             metrics_.Render());
         },
--- a/tests/core/log_test.cc
+++ b/tests/core/log_test.cc
@@ -119,7 +119,7 @@
       Log(LogLevel::kInfo, "event_" + std::to_string(i), {{"number", i}});
     }
     const auto took = steady_clock::now() - start;
-    if (LogLinesLeftOut() == 0) return 1;
+    if (DroppedLogLines() == 0) return 1;
     // A blocked write would last until the reader comes.
     return took < std::chrono::seconds(20) ? 0 : 2;
   });
