--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -149,7 +149,7 @@
   const ServiceId service = PickTarget(*route, random_.Unit()).service;
   const ServiceSpec& spec = routes_->configuration().services.at(service);
   const Duration patience =
-      std::min(caller.patience.value_or(route->timeout), route->timeout);
+      std::min(caller.timeout.value_or(route->timeout), route->timeout);
   RequestFacts facts{.kind = route->kind,
                      .resumable = route->resumable,
                      .attempts = route->attempts,
--- a/tests/platform/request_headers_test.cc
+++ b/tests/platform/request_headers_test.cc
@@ -83,7 +83,7 @@
   const CallerHeaders headers = ReadCallerHeaders(*exchange);
   STRCMP_EQUAL("r1", headers.id.value().c_str());
   STRCMP_EQUAL("a.example", headers.host.c_str());
-  CHECK_TRUE(*headers.patience == Milliseconds(1400));
+  CHECK_TRUE(*headers.timeout == Milliseconds(1400));
   LONGS_EQUAL(1460, headers.prompt.value());
   LONGS_EQUAL(80, headers.output.value());
   LONGS_EQUAL(12, *headers.last_event_id);
@@ -92,7 +92,7 @@
 TEST(RequestHeaders, MalformedHeadersSayNothing) {
   Receive({{"X-Deadline-Ms", "soon"}, {"X-Token-Counts", "-3,x"}});
   const CallerHeaders headers = ReadCallerHeaders(*exchange);
-  CHECK_FALSE(headers.patience.has_value());
+  CHECK_FALSE(headers.timeout.has_value());
   LONGS_EQUAL(0, headers.prompt.value());
   CHECK_FALSE(headers.last_event_id.has_value());
 }
