--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -188,7 +188,7 @@
     return;
   }
   const bool success = IsSuccess(status);
-  if (success && !answer_->signed_by_endpoint) {
+  if (success && !answer_->has_server_stamp) {
     CallFailed(CallFailure::kBroken, "the answer has no signature");
     return;
   }
--- a/tests/platform/request_headers_test.cc
+++ b/tests/platform/request_headers_test.cc
@@ -152,7 +152,7 @@
   EndpointAnswer answer =
       ReadAnswer(200, headers, RequestId("r1"), EndpointId("i-1"));
   CHECK_TRUE(answer.other_request);
-  CHECK_TRUE(answer.signed_by_endpoint);
+  CHECK_TRUE(answer.has_server_stamp);
   CHECK_TRUE(answer.event_stream);
   CHECK_FALSE(answer.not_executed);
   for (const auto& [name, value] : answer.headers) {
