--- a/core/check_invariant.h
+++ b/core/check_invariant.h
@@ -1,4 +1,4 @@
-// Checks of invariants that stay on in every build.
+// Invariant checks that are enabled in every build type.
 #ifndef CORE_CHECK_INVARIANT_H_
 #define CORE_CHECK_INVARIANT_H_
 
@@ -8,9 +8,9 @@
 
 namespace cassiausher {
 
-/// Ends the process when an invariant is broken: an instance that went on could
-/// overwrite committed entries, spread a reverted configuration or take the
-/// last runner of a role away. `invariant` states what must hold.
+/// Aborts the process when an invariant is violated: an instance that continued
+/// could overwrite committed entries, propagate a reverted configuration or
+/// remove the last runner of a role. `invariant` states what must hold.
 inline void CheckInvariant(bool holds, const char* invariant) {
   if (holds) [[likely]] {
     return;
--- a/core/endpoint_role.h
+++ b/core/endpoint_role.h
@@ -1,11 +1,11 @@
-// The part of a request that an endpoint takes.
+// The stage of a request that an endpoint serves.
 #ifndef CORE_ENDPOINT_ROLE_H_
 #define CORE_ENDPOINT_ROLE_H_
 
 namespace cassiausher {
 
-/// Prefill runners read prompts, decode runners write answers; plain endpoints
-/// run no model.
+/// Prefill runners process prompts, decode runners generate output; plain
+/// endpoints run no model.
 enum class EndpointRole { kPrefill, kDecode, kPlain };
 
 }  // namespace cassiausher
--- a/core/findings.h
+++ b/core/findings.h
@@ -1,5 +1,5 @@
-// Faults found in input. They are collected with their place and reported
-// together, so that one check names everything that is wrong.
+// Errors found while validating input. They are collected with their locations
+// and reported together, so that one pass reports every error.
 #ifndef CORE_FINDINGS_H_
 #define CORE_FINDINGS_H_
 
@@ -9,7 +9,8 @@
 
 namespace cassiausher {
 
-/// One fault. `place` is a file and JSON pointer, or a line and column.
+/// One error. `place` is its location: a file and JSON pointer, or a line and
+/// column.
 struct Finding {
   std::string place;
   std::string message;
@@ -33,7 +34,7 @@
   std::vector<Finding> items_;
 };
 
-/// All findings in one line, `place message; place message`.
+/// Formats all findings as one line, `place message; place message`.
 inline std::string ToString(const Findings& findings) {
   std::string text;
   for (const Finding& finding : findings.items()) {
--- a/core/ids.h
+++ b/core/ids.h
@@ -1,4 +1,4 @@
-// The ids of everything that messages, settings and state refer to.
+// Id types used in messages, settings and replicated state.
 #ifndef CORE_IDS_H_
 #define CORE_IDS_H_
 
@@ -6,21 +6,21 @@
 
 namespace cassiausher {
 
-/// Name of an instance, unique in the deployment; from its settings.
+/// Name of an instance from its settings; unique in the deployment.
 using InstanceId = StrongString<struct InstanceIdTag>;
 using DataCentreId = StrongString<struct DataCentreIdTag>;
-/// Name of an endpoint, unique in the deployment; from its announcement.
+/// Name of an endpoint from its announcement; unique in the deployment.
 using EndpointId = StrongString<struct EndpointIdTag>;
-/// Name of a service: what a caller puts into "model", or NAME of a plain
-/// service.
+/// Name of a service: the value of "model" in a caller's request, or the NAME
+/// of a plain service.
 using ServiceId = StrongString<struct ServiceIdTag>;
-/// Id of one request, unique over the life of the deployment.
+/// Id of one request, unique over the lifetime of the deployment.
 using RequestId = StrongString<struct RequestIdTag>;
 /// Client account that a request is billed to.
 using AccountId = StrongString<struct AccountIdTag>;
-/// Class of a request; decides its latency targets and its queue.
+/// Class of a request; determines its latency targets and its queue.
 using ClassId = StrongString<struct ClassIdTag>;
-/// Id that an operator gives to a change.
+/// Operator-assigned id of a configuration change.
 using ChangeId = StrongString<struct ChangeIdTag>;
 /// Value of the Idempotency-Key header, scoped by account.
 using IdempotencyKey = StrongString<struct IdempotencyKeyTag>;
--- a/core/json_reader.cc
+++ b/core/json_reader.cc
@@ -46,7 +46,7 @@
 }
 
 const json* JsonReader::Find(const char* key) {
-  known_.insert(key);
+  read_keys_.insert(key);
   if (!object_.is_object()) return nullptr;
   const auto found = object_.find(key);
   return found == object_.end() ? nullptr : &*found;
@@ -151,7 +151,7 @@
 void JsonReader::Finish() {
   if (!object_.is_object()) return;
   for (const auto& [key, value] : object_.items()) {
-    if (!known_.contains(key)) Report(key, "unknown key");
+    if (!read_keys_.contains(key)) Report(key, "unknown key");
   }
 }
 
--- a/core/log.h
+++ b/core/log.h
@@ -1,6 +1,6 @@
-// Structured log lines: time, level, instance, event and fields. Either
+// Structured logging: time, level, instance, event and fields. Lines are either
 // key=value pairs on standard error, or JSON objects on standard output with a
-// bound on each event's rate.
+// rate limit per event.
 #ifndef CORE_LOG_H_
 #define CORE_LOG_H_
 
@@ -26,33 +26,33 @@
 
   std::string key;
   std::string value;
-  /// A number or a truth value, which JSON writes without quotes.
+  /// A number or a boolean, which JSON writes without quotes.
   bool is_literal = false;
 };
 
-/// Sets the lowest level written and the instance name on each line. Call
+/// Sets the lowest level written and the instance name of each line. Call
 /// before the tasks start.
 void ConfigureLog(LogLevel lowest, std::string instance);
 
 enum class LogFormat {
-  kKeyValue,  ///< Standard error, unbounded.
-  /// Standard output, one object a line. Never blocks: lines that the reader
-  /// doesn't take are left out, and so are lines of an event beyond the first
-  /// hundred in a second, but for one. The next line of the event tells how
-  /// many in `left_out`.
+  kKeyValue,  ///< Standard error, without a rate limit.
+  /// Standard output, one object per line. Never blocks: lines that a slow
+  /// reader doesn't take are dropped, and so are lines of an event beyond the
+  /// first 100 in a second. The next line of the event has the number that the
+  /// rate limit dropped in `left_out`.
   kJson,
 };
 
 /// Chooses the format. Call before the tasks start.
 void SetLogFormat(LogFormat format);
 
-/// Lines left out so far; only LogFormat::kJson leaves lines out.
+/// Number of lines dropped so far; only LogFormat::kJson drops lines.
 std::uint64_t DroppedLogLines();
 
-/// Returns false if `name` is no level.
+/// Returns false if `name` is not a level.
 bool ParseLogLevel(std::string_view name, LogLevel* level);
 
-/// Writes one line; safe from any thread.
+/// Writes one line. Thread-safe.
 void Log(LogLevel level, std::string_view event,
          const std::vector<LogField>& fields = {});
 
--- a/core/metrics.h
+++ b/core/metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and latency distributions, written as Prometheus text.
+// Counters, gauges and latency distributions, exposed as Prometheus text.
 // Distributions keep count, sum and quantile estimates with Boost.Accumulators.
 #ifndef CORE_METRICS_H_
 #define CORE_METRICS_H_
@@ -15,7 +15,7 @@
 
 namespace cassiausher {
 
-/// Monotonic count. Safe from any thread.
+/// Monotonically increasing count. Thread-safe.
 class Counter {
  public:
   void Add(std::uint64_t n = 1) {
@@ -27,7 +27,7 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-/// Last value set. Safe from any thread.
+/// Value that can go up and down. Thread-safe.
 class Gauge {
  public:
   void Set(std::int64_t value) {
@@ -40,7 +40,7 @@
   std::atomic<std::int64_t> value_{0};
 };
 
-/// Distribution of durations. Safe from any thread; takes a lock.
+/// Distribution of durations. Thread-safe; takes a lock.
 class Distribution {
  public:
   Distribution();
@@ -49,7 +49,8 @@
   void Record(Duration duration);
 
   std::uint64_t Count() const;
-  /// `quantile` is one of 0.5, 0.95, 0.99. Zero when nothing was recorded.
+  /// `quantile` is one of 0.5, 0.95, 0.99. Returns the mean while there are too
+  /// few samples for an estimate, and zero when there are none.
   Duration Quantile(double quantile) const;
   Duration Sum() const;
 
@@ -59,8 +60,8 @@
   std::unique_ptr<Accumulator> accumulator_;
 };
 
-/// Owner of all metrics of a process. A name may carry Prometheus labels:
-/// `requests_total{class="short"}`. References stay valid for its life.
+/// Owns all metrics of a process. A name may include Prometheus labels:
+/// `requests_total{class="short"}`. References stay valid for its lifetime.
 class Metrics {
  public:
   Counter& counter(std::string_view name);
--- a/core/random.h
+++ b/core/random.h
@@ -1,5 +1,5 @@
-// Seeded random numbers. Every randomised decision takes a generator, so that
-// a seed repeats a run.
+// Seeded random numbers. Every randomised decision takes a generator, so that a
+// run can be reproduced from its seed.
 #ifndef CORE_RANDOM_H_
 #define CORE_RANDOM_H_
 
--- a/core/registry.h
+++ b/core/registry.h
@@ -1,5 +1,5 @@
-// Registry of plug-ins of one kind. Modules add themselves by name in their
-// register_types.cc; the kernel creates them by name.
+// Registry of plug-ins of one kind. Modules register factories by name in their
+// register_types.cc; the kernel creates the plug-ins by name.
 #ifndef CORE_REGISTRY_H_
 #define CORE_REGISTRY_H_
 
@@ -12,19 +12,19 @@
 
 namespace cassiausher {
 
-/// Creates objects of `Interface` by name. Filled once at start, before any
-/// task runs, and only read afterwards; reading needs no lock.
+/// Creates objects of `Interface` by name. Populated once at startup, before
+/// any task runs, and read-only afterwards, so reads need no lock.
 template <typename Interface, typename... Args>
 class Registry {
  public:
   using Factory = std::function<std::unique_ptr<Interface>(Args...)>;
 
-  /// Returns false if `name` is taken.
+  /// Returns false if `name` is already registered.
   bool Register(std::string name, Factory factory) {
     return factories_.emplace(std::move(name), std::move(factory)).second;
   }
 
-  /// Returns null if no plug-in has this name.
+  /// Returns null if no plug-in is registered under `name`.
   std::unique_ptr<Interface> Create(const std::string& name,
                                     Args... args) const {
     const auto found = factories_.find(name);
--- a/core/settings.h
+++ b/core/settings.h
@@ -1,5 +1,5 @@
-// Settings of one daemon, read from its JSON file. What all instances share is
-// in the replicated configuration, not here.
+// Settings of one daemon, read from its JSON file. Settings shared by all
+// instances are in the replicated configuration instead.
 #ifndef CORE_SETTINGS_H_
 #define CORE_SETTINGS_H_
 
@@ -13,7 +13,7 @@
 
 namespace cassiausher {
 
-/// IP number and port.
+/// IP address and port.
 struct SocketAddress {
   std::string ip;
   std::uint16_t port = 0;
@@ -21,24 +21,24 @@
   std::string ToString() const;
 };
 
-/// Parses "IP:PORT" or "[IPv6]:PORT". Returns false when it is neither.
+/// Parses "IP:PORT" or "[IPv6]:PORT". Returns false if `text` is neither.
 bool ParseSocketAddress(const std::string& text, SocketAddress* address);
 
 struct PeerSettings {
   InstanceId instance;
   DataCentreId data_centre;
   SocketAddress address;
-  /// Z85 CURVE key; empty when the deployment runs without keys.
+  /// Z85-encoded CURVE key; empty if the deployment runs without encryption.
   std::string public_key;
-  /// A disk is attached and the instance votes on the replicated log.
+  /// The instance has a disk and votes on the replicated log.
   bool voter = false;
 };
 
 /// A bearer token, stored as its SHA-256 in hexadecimal.
 struct TokenSettings {
-  std::string name;  ///< Account, operator or endpoint group.
+  std::string name;  ///< Client account, operator or endpoint group.
   std::string sha256;
-  std::string role;  ///< Of an operator: viewer, operator, administrator.
+  std::string role;  ///< Operators only: viewer, operator or administrator.
 };
 
 struct Settings {
@@ -53,15 +53,15 @@
     std::string tls_key_file;
   } listen;
 
-  /// All instances known at start, this one included.
+  /// All instances known at startup, including this one.
   std::vector<PeerSettings> peers;
-  /// Empty: no disk.
+  /// Empty if the instance has no disk.
   std::string data_folder;
 
   struct Keys {
     std::string curve_public_key;
     std::string curve_secret_key_file;
-    /// Content of the file.
+    /// Content of `curve_secret_key_file`.
     std::string curve_secret_key;
     std::vector<TokenSettings> operators;
     std::vector<TokenSettings> callers;
@@ -71,12 +71,12 @@
   struct Limits {
     std::int64_t body_bytes = 4 << 20;
     std::int64_t header_bytes = 32 << 10;
-    /// Requests in progress at this instance; more are refused.
+    /// Maximum requests in progress at this instance; further ones are refused.
     std::int64_t open_requests = 20000;
     std::int64_t serving_tasks = 4;
-    /// Bytes of one stream that wait for a slow caller before it is cut.
+    /// A stream to a slow caller is ended when more bytes than this are unsent.
     std::int64_t unsent_bytes = 1 << 20;
-    /// A graceful shutdown waits this long for requests in progress.
+    /// Maximum time that a graceful shutdown waits for requests in progress.
     std::int64_t shutdown_ms = 600000;
   } limits;
 
@@ -85,11 +85,11 @@
   } log;
 };
 
-/// Reads and checks a whole file. Every fault is a finding with the file and
-/// the JSON pointer of its place.
+/// Reads and validates a settings file. Every error is a finding with the file
+/// and the JSON pointer of its location.
 Settings LoadSettings(const std::string& file, Findings* findings);
 
-/// The same for a text; `place` stands for the file in findings.
+/// Like LoadSettings() for a text; `place` replaces the file name in findings.
 Settings ParseSettings(const std::string& text, const std::string& place,
                        Findings* findings);
 
--- a/core/strong_number.h
+++ b/core/strong_number.h
@@ -1,4 +1,4 @@
-// An arithmetic value with a type of its own, for units and counters.
+// Strongly typed arithmetic values, for units and counters.
 #ifndef CORE_STRONG_NUMBER_H_
 #define CORE_STRONG_NUMBER_H_
 
--- a/core/strong_string.h
+++ b/core/strong_string.h
@@ -1,5 +1,5 @@
-// A string with a type of its own, for ids. Two ids of different kinds don't
-// compare or convert.
+// Strongly typed strings, for ids. Ids of different kinds neither compare nor
+// convert.
 #ifndef CORE_STRONG_STRING_H_
 #define CORE_STRONG_STRING_H_
 
--- a/core/time.h
+++ b/core/time.h
@@ -1,6 +1,6 @@
-// Time as the decision code sees it: a value passed in by the caller. Nothing
-// in core/ or servers/ reads a clock, so the same code runs in the daemon and
-// in virtual time.
+// Time types of the decision code, which gets the current time as an argument.
+// Nothing in core/ or servers/ reads a clock, except for the timestamps of log
+// lines, so the same code runs in the daemon and in virtual time.
 #ifndef CORE_TIME_H_
 #define CORE_TIME_H_
 
@@ -12,7 +12,7 @@
 /// Microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Tag clock of `Time`. It has no now(); drivers/clock.h reads the real one.
+/// Clock tag of `Time`. It has no now(); drivers/clock.h reads the real clock.
 struct MonotonicClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -21,7 +21,7 @@
   static constexpr bool is_steady = true;  // NOLINT: name fixed by <chrono>
 };
 
-/// A point on the process's monotonic time line. Values of two processes are
+/// A point in the monotonic time of one process. Values of two processes are
 /// not comparable.
 using Time = MonotonicClock::time_point;
 
@@ -33,7 +33,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::seconds(count));
 }
 
-/// Converts seconds with a fraction, rounding towards zero.
+/// Converts fractional seconds, rounding towards zero.
 constexpr Duration FromSeconds(double seconds) {
   return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
--- a/drivers/clock.h
+++ b/drivers/clock.h
@@ -1,4 +1,5 @@
-// The process's real clock. Only tasks read it; they pass the value on.
+// Reads the real clock. Only tasks call these functions; they pass the time on
+// as an argument.
 #ifndef DRIVERS_CLOCK_H_
 #define DRIVERS_CLOCK_H_
 
@@ -15,8 +16,8 @@
       std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/// Like MonotonicNow(), but counts the time for which the machine was
-/// suspended, so that beliefs age while it stands still.
+/// Like MonotonicNow(), but includes the time during which the machine was
+/// suspended, so that received state also ages during a suspension.
 inline Time BootTimeNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
--- a/drivers/close_watcher.cc
+++ b/drivers/close_watcher.cc
@@ -27,7 +27,7 @@
 }
 
 void CloseWatcher::Add(int descriptor, std::function<void()> on_close) {
-  watched_[descriptor] = std::move(on_close);
+  callbacks_[descriptor] = std::move(on_close);
   epoll_event event{};
   event.events = EPOLLRDHUP | EPOLLONESHOT;
   event.data.fd = descriptor;
@@ -35,7 +35,7 @@
 }
 
 void CloseWatcher::Remove(int descriptor) {
-  if (watched_.erase(descriptor) == 0) return;
+  if (callbacks_.erase(descriptor) == 0) return;
   epoll_ctl(epoll_, EPOLL_CTL_DEL, descriptor, nullptr);
 }
 
@@ -44,9 +44,9 @@
   const int count =
       epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), 0);
   for (int i = 0; i < count; ++i) {
-    const auto found = watched_.find(events[i].data.fd);
+    const auto found = callbacks_.find(events[i].data.fd);
     // An earlier callback of this batch may have removed the connection.
-    if (found == watched_.end()) continue;
+    if (found == callbacks_.end()) continue;
     const std::function<void()> on_close = std::move(found->second);
     Remove(events[i].data.fd);
     on_close();
--- a/drivers/close_watcher.h
+++ b/drivers/close_watcher.h
@@ -1,6 +1,6 @@
-// Notices that the far end of a connection has closed it while the HTTP server
-// isn't reading from it. One epoll descriptor serves all connections, so that
-// GLib's poll set doesn't grow with open streams.
+// Detects that the remote end has closed a connection while the HTTP server
+// isn't reading from it. One epoll descriptor covers all connections, so that
+// GLib's poll set doesn't grow with the number of open streams.
 #ifndef DRIVERS_CLOSE_WATCHER_H_
 #define DRIVERS_CLOSE_WATCHER_H_
 
@@ -14,8 +14,8 @@
 
 namespace cassiausher {
 
-/// Belongs to the task whose context it is given. A far end that closes only
-/// its sending side counts as gone.
+/// Belongs to the task that runs `context`. A connection that the remote end
+/// has half-closed (shut down for sending) counts as closed.
 class CloseWatcher {
  public:
   explicit CloseWatcher(GMainContext* context);
@@ -23,7 +23,8 @@
   CloseWatcher(const CloseWatcher&) = delete;
   CloseWatcher& operator=(const CloseWatcher&) = delete;
 
-  /// Calls `on_close` once. The file descriptor must stay open until Remove.
+  /// Calls `on_close` once, when the connection is closed. The descriptor must
+  /// stay open until then or until Remove().
   void Add(int descriptor, std::function<void()> on_close);
   void Remove(int descriptor);
 
@@ -32,7 +33,7 @@
 
   int epoll_ = -1;
   GSourcePtr source_;
-  std::unordered_map<int, std::function<void()>> watched_;
+  std::unordered_map<int, std::function<void()>> callbacks_;
 };
 
 }  // namespace cassiausher
--- a/drivers/gobject_ptr.h
+++ b/drivers/gobject_ptr.h
@@ -1,4 +1,4 @@
-// Ownership of GLib objects by unique_ptr.
+// unique_ptr types that own GLib objects.
 #ifndef DRIVERS_GOBJECT_PTR_H_
 #define DRIVERS_GOBJECT_PTR_H_
 
@@ -13,11 +13,11 @@
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 
-/// Holds one reference.
+/// Owns one reference.
 template <typename T>
 using GObjectPtr = std::unique_ptr<T, GObjectUnref>;
 
-/// Takes a reference of its own.
+/// Adds a reference and returns its owner.
 template <typename T>
 GObjectPtr<T> ShareGObject(T* object) {
   return GObjectPtr<T>(static_cast<T*>(g_object_ref(object)));
--- a/drivers/http_client.h
+++ b/drivers/http_client.h
@@ -1,8 +1,9 @@
-// HTTP calls of one task to endpoints, on libcurl. The answer's body arrives in
-// pieces as the network delivers them.
+// HTTP client of one task for calls to endpoints, based on libcurl. The
+// response body is passed on in pieces as they arrive.
 //
-// libsoup's client takes a chunked body whose connection ends between two
-// chunks for complete, and sends a call again that is answered 421.
+// libsoup's client isn't used: it treats a chunked body as complete when the
+// connection closes between two chunks, and resends a call that is answered
+// 421.
 #ifndef DRIVERS_HTTP_CLIENT_H_
 #define DRIVERS_HTTP_CLIENT_H_
 
@@ -25,25 +26,25 @@
   std::string method = "POST";
   std::string url;
   std::vector<std::pair<std::string, std::string>> headers;
-  /// Empty: the header is among `headers`, or there is none.
+  /// Empty: Content-Type is in `headers`, or isn't sent.
   std::string content_type = "application/json";
   std::string body;
-  /// Never sent on a connection that was used before, so that a silent one
-  /// can't take the call.
+  /// Always opens a connection, so that the call can't be lost on a pooled one
+  /// whose remote end no longer responds. The connection isn't reused.
   bool new_connection = false;
-  /// May be sent again by the library when a pooled connection turns out to be
-  /// closed. Without it every call but GET opens a new connection.
+  /// libcurl may resend the call when a pooled connection turns out to be
+  /// closed. If false, every call but GET opens a new connection.
   bool repeatable = false;
 };
 
-/// Receives the answer to one call, on the client's task.
+/// Receives the response to one call, on the client's task.
 class HttpCallSink {
  public:
   virtual ~HttpCallSink() = default;
   virtual void OnHeaders(int status, SoupMessageHeaders* headers) = 0;
   virtual void OnBody(std::string_view bytes) = 0;
-  /// The last call. `error` is empty when the body is whole. `sent` is false
-  /// when no connection could be made, so that the far end saw nothing.
+  /// Called last. `error` is empty if the body is complete. `sent` is false if
+  /// no connection could be established, so that the remote end got nothing.
   virtual void OnDone(std::string_view error, bool sent) = 0;
 };
 
@@ -56,11 +57,11 @@
 
   using CallId = std::uint64_t;
 
-  /// The sink must live until OnDone or Cancel.
+  /// The sink must outlive the call: until OnDone or Cancel.
   CallId Start(const HttpCall& call, HttpCallSink* sink);
-  /// Drops the call and its connection; the sink hears no more.
+  /// Aborts the call and closes its connection; the sink isn't called again.
   void Cancel(CallId id);
-  /// Whether the far end may have seen anything of the call.
+  /// Whether the remote end may have received any part of an open call.
   bool WasSent(CallId id) const;
 
  private:
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -131,11 +131,11 @@
   watched_descriptor_ = g_socket_get_fd(socket);
   watcher_->Add(watched_descriptor_, [this] {
     watched_descriptor_ = -1;
-    Closed();
+    OnCallerClosed();
   });
 }
 
-void HttpExchange::Closed() {
+void HttpExchange::OnCallerClosed() {
   if (finished_) return;
   Finish();
   // Let libsoup go on: it meets the closed socket and drops the connection.
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -1,5 +1,5 @@
-// HTTP listener of one task, on libsoup. A request reaches the handler whole;
-// the answer may come later, whole or streamed.
+// HTTP server of one task, based on libsoup. The handler gets complete requests
+// and may respond later, at once or as a stream.
 #ifndef DRIVERS_HTTP_SERVER_H_
 #define DRIVERS_HTTP_SERVER_H_
 
@@ -20,8 +20,8 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// One request and its answer. Belongs to the server's task. Kept alive by
-/// whoever holds the shared_ptr; dropping it unanswered answers 500.
+/// One request and its response. Belongs to the server's task. Responds with
+/// status 500 when its last shared_ptr is released without a response.
 class HttpExchange {
  public:
   HttpExchange(SoupServerMessage* message, CloseWatcher* watcher);
@@ -30,7 +30,7 @@
   HttpExchange& operator=(const HttpExchange&) = delete;
 
   std::string_view method() const;
-  /// As it was sent, with its escapes.
+  /// As sent, with its percent-encoding.
   std::string_view path() const;
   /// The raw query string, or empty.
   std::string_view query() const;
@@ -40,8 +40,8 @@
   /// All request headers, in order.
   HttpHeaders headers() const;
 
-  /// Calls `on_closed` once if the caller closes before the answer is whole.
-  /// Another call replaces the callback.
+  /// Calls `on_closed` once if the caller closes the connection before the
+  /// response is complete. Calling it again replaces the callback.
   void WatchClose(std::function<void()> on_closed);
 
   void Respond(int status, std::string_view content_type, std::string_view body,
@@ -50,20 +50,20 @@
                    const HttpHeaders& headers = {});
   void Write(std::string_view bytes);
   void EndStream();
-  /// Closes the connection at once, so that a stream that was begun doesn't
-  /// look complete.
+  /// Closes the connection at once, so that an unfinished stream doesn't look
+  /// complete.
   void Abort();
 
-  /// True once the answer is whole or the caller is gone.
+  /// True once the response is complete or the caller has disconnected.
   bool finished() const { return finished_; }
   bool streaming() const { return streaming_; }
-  /// Bytes written to the stream and not yet taken by the socket.
+  /// Bytes written to the stream and not yet accepted by the socket.
   std::int64_t unsent_bytes() const { return unsent_bytes_; }
 
  private:
   void Finish();
   void OnTransportFinished();
-  void Closed();
+  void OnCallerClosed();
   void SetHeaders(const HttpHeaders& headers);
 
   GObjectPtr<SoupServerMessage> message_;
@@ -80,23 +80,24 @@
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
 struct HttpServerOptions {
-  std::string address;  ///< IP number.
+  std::string address;  ///< IP address.
   std::uint16_t port = 0;
-  /// Lets several tasks listen on one port; the kernel spreads connections.
+  /// Lets several tasks listen on one port (SO_REUSEPORT); the kernel
+  /// distributes connections among them.
   bool share_port = false;
-  /// PEM files; empty: plain HTTP.
+  /// PEM files; empty for plain HTTP.
   std::string tls_certificate_file;
   std::string tls_key_file;
-  /// A larger body is answered 413 before it is read whole.
+  /// A larger body is answered with 413 before it is read completely.
   std::int64_t max_body_bytes = 4 << 20;
-  /// Request line and headers together; more is answered 431.
+  /// Larger request headers are answered with 431.
   std::int64_t max_header_bytes = 32 << 10;
 };
 
 class HttpServer {
  public:
   using Handler = std::function<void(HttpExchangePtr)>;
-  /// Writes the answer for a request refused before it was read.
+  /// Returns the response body for a request refused before it was read.
   using LimitHandler =
       std::function<std::string(int status, std::string_view message)>;
 
@@ -104,10 +105,10 @@
              LimitHandler limit_handler);
   ~HttpServer();
 
-  /// Listens on the calling thread's default context. Returns an error text,
-  /// empty on success.
+  /// `context` must be the calling thread's default context. Returns an error
+  /// text, empty on success.
   std::string Listen(GMainContext* context);
-  /// Accepts no new connections; open ones go on.
+  /// Stops accepting connections; open ones stay open.
   void StopListening();
   std::uint16_t port() const { return port_; }
 
--- a/drivers/peer_transport.cc
+++ b/drivers/peer_transport.cc
@@ -128,9 +128,8 @@
           zmq::socket_t(sockets_->context, zmq::socket_type::rep);
       sockets_->authentication.set(zmq::sockopt::linger, 0);
       sockets_->authentication.bind("inproc://zeromq.zap.01");
-      sockets_->authentication_source =
-          AttachZmqSource(sockets_->authentication, context,
-                          [this] { AnswerAuthentication(); });
+      sockets_->authentication_source = AttachZmqSource(
+          sockets_->authentication, context, [this] { HandleZapRequests(); });
     }
     sockets_->inbox =
         zmq::socket_t(sockets_->context, zmq::socket_type::router);
@@ -143,8 +142,8 @@
       sockets_->inbox.set(zmq::sockopt::zap_domain, "cassiausher");
     }
     sockets_->inbox.bind("tcp://" + options_.listen);
-    sockets_->inbox_source =
-        AttachZmqSource(sockets_->inbox, context, [this] { DrainInbox(); });
+    sockets_->inbox_source = AttachZmqSource(sockets_->inbox, context,
+                                             [this] { ReceiveMessages(); });
   } catch (const zmq::error_t& error) {
     return fmt::format("peer listener {}: {}", options_.listen, error.what());
   }
@@ -210,7 +209,7 @@
   return true;
 }
 
-void PeerTransport::DrainInbox() {
+void PeerTransport::ReceiveMessages() {
   for (int i = 0; i < kDrainBatch; ++i) {
     zmq::message_t route;
     if (!sockets_->inbox.recv(route, zmq::recv_flags::dontwait)) return;
@@ -231,7 +230,7 @@
   }
 }
 
-void PeerTransport::AnswerAuthentication() {
+void PeerTransport::HandleZapRequests() {
   for (;;) {
     std::vector<zmq::message_t> frames;
     zmq::message_t frame;
--- a/drivers/peer_transport.h
+++ b/drivers/peer_transport.h
@@ -1,6 +1,6 @@
-// Messages between instances over ZeroMQ: one ROUTER socket that receives, one
-// DEALER socket for each peer that sends. With keys set, CURVE encrypts and
-// only the listed public keys may connect.
+// Messages between instances over ZeroMQ: one ROUTER socket receives, and one
+// DEALER socket per peer sends. If keys are set, connections are encrypted with
+// CURVE, and only the peers' public keys may connect.
 #ifndef DRIVERS_PEER_TRANSPORT_H_
 #define DRIVERS_PEER_TRANSPORT_H_
 
@@ -19,7 +19,7 @@
 
 namespace cassiausher {
 
-/// Z85-encoded CURVE keys, 40 characters each; empty: no encryption.
+/// Z85-encoded CURVE keys, 40 characters each; empty for no encryption.
 struct CurveKeys {
   std::string public_key;
   std::string secret_key;
@@ -28,15 +28,15 @@
 struct PeerTransportOptions {
   std::string listen;  ///< "IP:PORT".
   CurveKeys keys;
-  /// Longest message accepted from a peer.
+  /// Larger messages from a peer are rejected.
   std::int64_t max_message_bytes = 16 << 20;
-  /// A connection without an answer to a heartbeat within the timeout is
-  /// replaced: the path may have lost track of it while new connections work.
+  /// A connection whose heartbeat isn't answered within the timeout is
+  /// replaced: a middlebox may have lost its state while new connections work.
   int heartbeat_ms = 500;
   int heartbeat_timeout_ms = 1500;
 };
 
-/// Belongs to the task whose context it is given.
+/// Belongs to the task that runs the context passed to Listen().
 class PeerTransport {
  public:
   using Handler = std::function<void(std::string_view message)>;
@@ -56,14 +56,14 @@
   bool HasPeer(const InstanceId& peer) const;
   void RemovePeer(const InstanceId& peer);
 
-  /// Never blocks. Returns false when the peer is unknown, not connected or
-  /// its queue is full; the message is dropped and counted.
+  /// Never blocks. If the peer is unknown or not connected, or its queue is
+  /// full, drops and counts the message and returns false.
   bool Send(const InstanceId& peer, std::string_view message);
 
  private:
   struct Sockets;
-  void DrainInbox();
-  void AnswerAuthentication();
+  void ReceiveMessages();
+  void HandleZapRequests();
 
   PeerTransportOptions options_;
   Counter& received_;
--- a/drivers/task.h
+++ b/drivers/task.h
@@ -1,5 +1,5 @@
-// A thread with a GLib main loop of its own. A task owns its sockets and its
-// state; other tasks reach it only through its mailbox.
+// A thread with its own GLib main loop. A task owns its sockets and its state;
+// other tasks communicate with it only through its mailbox.
 #ifndef DRIVERS_TASK_H_
 #define DRIVERS_TASK_H_
 
@@ -18,7 +18,7 @@
 
 namespace cassiausher {
 
-/// Calls `callback` in `context` each `period` until the source is destroyed.
+/// Calls `callback` in `context` every `period` until the source is destroyed.
 GSourcePtr AddTimer(GMainContext* context, Duration period,
                     std::function<void()> callback);
 
@@ -29,10 +29,11 @@
   Task(const Task&) = delete;
   Task& operator=(const Task&) = delete;
 
-  /// Starts the thread; OnStart runs there first. Returns after OnStart.
+  /// Starts the thread and returns after its OnStart().
   void Start();
-  /// Ends the loop after the current message and joins the thread. Every
-  /// derived class calls it in its destructor, before its members go.
+  /// Ends the loop after the current callback and joins the thread. Every
+  /// derived class must call it in its destructor, before its members are
+  /// destroyed.
   void Stop();
 
   GMainContext* context() const { return context_; }
@@ -43,7 +44,7 @@
   /// Closes sockets. Runs on the task's thread.
   virtual void OnStop() {}
 
-  /// Calls `callback` on the task's thread each `period` until the source is
+  /// Calls `callback` on the task's thread every `period` until the source is
   /// destroyed.
   GSourcePtr AddTimer(Duration period, std::function<void()> callback);
 
@@ -56,15 +57,15 @@
   std::thread thread_;
 };
 
-/// Queue of typed messages into one task. Any thread may post; the handler runs
-/// on the task's thread, in the order of posting for one sender.
+/// Queue of typed messages to one task. Any thread may post; the handler runs
+/// on the task's thread. Messages of one sender are handled in posting order.
 template <typename Message>
 class Mailbox {
  public:
   Mailbox(GMainContext* context, std::function<void(Message&)> handler)
       : context_(context),
         queue_(std::make_shared<Queue>(std::move(handler))) {}
-  /// On the task's thread. What was posted and not handled is dropped.
+  /// Must run on the task's thread. Messages not yet handled are dropped.
   ~Mailbox() { queue_->handler = nullptr; }
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
@@ -76,12 +77,12 @@
       was_empty = queue_->messages.empty();
       queue_->messages.push_back(std::move(message));
     }
-    // One wake-up drains all that has been posted since.
+    // One wake-up handles all messages posted before it runs.
     if (was_empty) ScheduleDrain();
   }
 
  private:
-  // Shared with the wake-up, which may come after the mailbox is gone.
+  // Shared with the wake-up, which may run after the mailbox is destroyed.
   struct Queue {
     explicit Queue(std::function<void(Message&)> handle)
         : handler(std::move(handle)) {}
