--- a/core/log.cc
+++ b/core/log.cc
@@ -19,7 +19,7 @@
 constexpr std::array<std::string_view, 4> kLevelNames = {"debug", "info",
                                                          "warning", "error"};
 
-LogLevel lowest_level = LogLevel::kInfo;
+LogLevel min_level = LogLevel::kInfo;
 
 std::string& InstanceName() {
   static std::string& name = *new std::string("-");
@@ -50,22 +50,23 @@
       .count();
 }
 
-// Lines of one event within the current second.
-class EventBudget {
+// Limits the rate of one event: at most kLinesPerSecond lines in each second.
+class EventRateLimiter {
  public:
-  // Whether a line may be written; fills in how many were left out before it.
-  bool Take(std::int64_t second, std::uint64_t* left_out) {
+  // Returns whether a line may be written. If so, sets `left_out` to the number
+  // of lines dropped since the last one written.
+  bool Allow(std::int64_t second, std::uint64_t* left_out) {
     if (second != second_) {
       second_ = second;
       lines_ = 0;
     }
     ++lines_;
-    if (lines_ > kLinesPerSecond && written_in_ == second) {
+    if (lines_ > kLinesPerSecond && limited_second_ == second) {
       ++left_out_;
       return false;
     }
-    // Beyond the burst one line a second goes on.
-    if (lines_ >= kLinesPerSecond) written_in_ = second;
+    // The limit for this second is reached.
+    if (lines_ >= kLinesPerSecond) limited_second_ = second;
     *left_out = std::exchange(left_out_, 0);
     return true;
   }
@@ -73,12 +74,12 @@
  private:
   static constexpr int kLinesPerSecond = 100;
   std::int64_t second_ = 0;
-  std::int64_t written_in_ = 0;
+  std::int64_t limited_second_ = 0;
   int lines_ = 0;
   std::uint64_t left_out_ = 0;
 };
 
-// Writes to standard output without waiting for its reader.
+// Writes JSON lines to standard output without waiting for its reader.
 class JsonSink {
  public:
   static JsonSink& Instance() {
@@ -91,11 +92,12 @@
     const std::lock_guard lock(mutex_);
     const std::int64_t now_ms = MillisecondsSinceEpoch();
     std::uint64_t left_out = 0;
-    auto found = budgets_.find(event);
-    if (found == budgets_.end()) {
-      found = budgets_.emplace(std::string(event), EventBudget()).first;
+    auto found = rate_limiters_.find(event);
+    if (found == rate_limiters_.end()) {
+      found =
+          rate_limiters_.emplace(std::string(event), EventRateLimiter()).first;
     }
-    if (!found->second.Take(now_ms / 1000, &left_out)) {
+    if (!found->second.Allow(now_ms / 1000, &left_out)) {
       left_out_.fetch_add(1, std::memory_order_relaxed);
       return;
     }
@@ -123,8 +125,8 @@
   }
 
  private:
-  // Lines that wait for a slow reader.
-  static constexpr std::size_t kMostPendingBytes = 256 << 10;
+  // Maximum size of the lines buffered for a slow reader.
+  static constexpr std::size_t kMaxPendingBytes = 256 << 10;
 
   JsonSink() {
     const int flags = fcntl(STDOUT_FILENO, F_GETFL);
@@ -132,7 +134,7 @@
   }
 
   void Send(const std::string& line) {
-    if (pending_.size() + line.size() > kMostPendingBytes) {
+    if (pending_.size() + line.size() > kMaxPendingBytes) {
       left_out_.fetch_add(1, std::memory_order_relaxed);
     } else {
       pending_ += line;
@@ -143,7 +145,7 @@
   }
 
   std::mutex mutex_;
-  std::map<std::string, EventBudget, std::less<>> budgets_;
+  std::map<std::string, EventRateLimiter, std::less<>> rate_limiters_;
   std::string pending_;
   std::atomic<std::uint64_t> left_out_{0};
 };
@@ -157,7 +159,7 @@
 std::uint64_t DroppedLogLines() { return JsonSink::Instance().left_out(); }
 
 void ConfigureLog(LogLevel lowest, std::string instance) {
-  lowest_level = lowest;
+  min_level = lowest;
   InstanceName() = std::move(instance);
 }
 
@@ -172,7 +174,7 @@
 
 void Log(LogLevel level, std::string_view event,
          const std::vector<LogField>& fields) {
-  if (level < lowest_level) return;
+  if (level < min_level) return;
   if (log_format == LogFormat::kJson) {
     JsonSink::Instance().Write(level, event, fields);
     return;
@@ -192,7 +194,7 @@
     AppendValue(line, field.value);
   }
   line.push_back('\n');
-  // One fwrite a line keeps lines of several threads whole.
+  // A single fwrite per line keeps lines of several threads from interleaving.
   std::fwrite(line.data(), 1, line.size(), stderr);
 }
 
--- a/core/metrics.cc
+++ b/core/metrics.cc
@@ -15,8 +15,8 @@
 
 namespace acc = boost::accumulators;
 
-// The p-square estimator tracks these probabilities; the ones beside a
-// reported quantile keep the interpolation close.
+// Probabilities tracked by the P-square estimator. Those next to a reported
+// quantile keep its interpolation accurate.
 const std::vector<double>& Probabilities() {
   static const auto& probabilities =
       *new std::vector<double>{0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.999};
@@ -44,13 +44,13 @@
   return *found->second;
 }
 
-// Writes one TYPE line for each metric family; the map's order keeps the
-// members of a family together.
+// Writes one TYPE line per metric family. The members of a family are adjacent
+// because the maps are sorted by name.
 class FamilyWriter {
  public:
   explicit FamilyWriter(std::string& out) : out_(out) {}
 
-  void Type(std::string_view full_name, std::string_view type) {
+  void WriteType(std::string_view full_name, std::string_view type) {
     const std::string_view family = SplitLabels(full_name).first;
     if (family == last_) return;
     last_ = family;
@@ -88,7 +88,8 @@
 
 Duration Distribution::Quantile(double quantile) const {
   const std::lock_guard lock(mutex_);
-  // The estimator is undefined until it has one sample for each marker.
+  // The estimator is undefined until it has one sample for each of its markers;
+  // until then the mean is returned.
   if (acc::count(accumulator_->set) < 2 * Probabilities().size() + 3) {
     const auto count = acc::count(accumulator_->set);
     if (count == 0) return Duration(0);
@@ -124,17 +125,17 @@
   std::string out;
   FamilyWriter families(out);
   for (const auto& [name, counter] : counters_) {
-    families.Type(name, "counter");
+    families.WriteType(name, "counter");
     fmt::format_to(std::back_inserter(out), "cassiausher_{} {}\n", name,
                    counter->value());
   }
   for (const auto& [name, gauge] : gauges_) {
-    families.Type(name, "gauge");
+    families.WriteType(name, "gauge");
     fmt::format_to(std::back_inserter(out), "cassiausher_{} {}\n", name,
                    gauge->value());
   }
   for (const auto& [name, distribution] : distributions_) {
-    families.Type(name, "summary");
+    families.WriteType(name, "summary");
     const auto [family, labels] = SplitLabels(name);
     const std::string_view comma = labels.empty() ? "" : ",";
     for (const double quantile : kReportedQuantiles) {
--- a/core/settings.cc
+++ b/core/settings.cc
@@ -19,7 +19,7 @@
 
 bool IsHex(char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); }
 
-bool IsName(const std::string& text) {
+bool IsValidName(const std::string& text) {
   const auto allowed = [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
@@ -32,7 +32,7 @@
   reader.Require(key);
   if (!reader.Has(key)) return;
   reader.Read(key, name);
-  if (!IsName(*name)) {
+  if (!IsValidName(*name)) {
     reader.Report(key,
                   "must be 1 to 64 letters, digits, dots, dashes or "
                   "underscores");
@@ -45,7 +45,8 @@
   std::string text;
   reader.Read(key, &text);
   if (!ParseSocketAddress(text, address)) {
-    reader.Report(key, "must be an IP number and a port, like 127.0.0.1:8080");
+    reader.Report(key,
+                  "must be an IP address and a port, such as 127.0.0.1:8080");
   }
 }
 
@@ -121,7 +122,8 @@
   reader.Read("tls_certificate_file", &listen->tls_certificate_file);
   reader.Read("tls_key_file", &listen->tls_key_file);
   if (listen->tls_certificate_file.empty() != listen->tls_key_file.empty()) {
-    reader.Report("", "tls_certificate_file and tls_key_file go together");
+    reader.Report("",
+                  "tls_certificate_file and tls_key_file must be set together");
   }
 }
 
@@ -140,14 +142,14 @@
   }
   if (!instance.empty() && !names->insert(instance).second) {
     reader.Report("instance",
-                  fmt::format("{} is listed a second time", instance));
+                  fmt::format("{} is listed more than once", instance));
   }
   peer.instance = InstanceId(instance);
   peer.data_centre = DataCentreId(data_centre);
   peers->push_back(peer);
 }
 
-void CheckSelf(const Settings& settings, JsonReader& reader) {
+void CheckOwnPeerEntry(const Settings& settings, JsonReader& reader) {
   const auto self = std::find_if(settings.peers.begin(), settings.peers.end(),
                                  [&](const PeerSettings& peer) {
                                    return peer.instance == settings.instance;
@@ -233,7 +235,7 @@
       log.Report("level", "must be debug, info, warning or error");
     }
   });
-  if (!instance.empty()) CheckSelf(settings, reader);
+  if (!instance.empty()) CheckOwnPeerEntry(settings, reader);
   reader.Finish();
   return settings;
 }
