--- a/tests/core/log_test.cc
+++ b/tests/core/log_test.cc
@@ -1,5 +1,6 @@
-// Guards requests against their log: a flood of lines is bounded, and a reader
-// that doesn't read, or is gone, costs lines and nothing else.
+// Guards against logging that slows down or ends a process: a burst of one
+// event must be rate-limited, and a reader of standard output that doesn't read
+// or has closed the pipe must only cause lines to be dropped.
 #include "core/log.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,11 +22,11 @@
 
 using std::chrono::steady_clock;
 
-// Lines of one event that are written in one second.
+// Maximum lines of one event in one second.
 constexpr int kLinesPerSecond = 100;
-constexpr int kFlood = 5000;
+constexpr int kBurstLines = 5000;
 
-// The log is one per process, so each test logs in a process of its own, whose
+// The log is global to a process, so each test logs from a child process whose
 // standard output is a pipe.
 class Child {
  public:
@@ -57,7 +58,7 @@
     return output;
   }
 
-  // Exit status, or -1 if a signal ended it.
+  // Returns the exit status, or -1 if the child was killed by a signal.
   int Wait() {
     int status = 0;
     waitpid(pid_, &status, 0);
@@ -69,7 +70,7 @@
   pid_t pid_ = -1;
 };
 
-// So that a flood lies within one second.
+// Lets a burst that follows start at the beginning of a second.
 void WaitForNextSecond() {
   using std::chrono::milliseconds;
   const auto passed = std::chrono::duration_cast<milliseconds>(
@@ -82,16 +83,16 @@
 
 TEST_GROUP(Log){};
 
-// Pattern: many users come at once, and each is refused with a line.
-TEST(Log, AFloodOfOneEventIsBoundedAndToldOf) {
+// A surge of callers in which each refusal writes a line.
+TEST(Log, BurstOfOneEventIsRateLimitedAndDropsAreCounted) {
   Child child([] {
     WaitForNextSecond();
-    for (int i = 0; i < kFlood; ++i) {
+    for (int i = 0; i < kBurstLines; ++i) {
       Log(LogLevel::kInfo, "flood", {{"number", i}});
     }
     Log(LogLevel::kInfo, "rare", {{"number", 1}});
     WaitForNextSecond();
-    Log(LogLevel::kInfo, "flood", {{"number", kFlood}});
+    Log(LogLevel::kInfo, "flood", {{"number", kBurstLines}});
     return 0;
   });
   std::istringstream lines(child.ReadOutput());
@@ -103,33 +104,33 @@
     ++counts[object["event"].get<std::string>()];
     left_out += object.value("left_out", std::int64_t{0});
   }
-  // The flood may go on for some seconds on a slow machine, with as many lines
-  // in each; none is lost uncounted.
-  CHECK_TRUE(counts["flood"] < kFlood / 2);
+  // On a slow machine the burst may last several seconds, with up to
+  // kLinesPerSecond lines in each. Every dropped line must be counted.
+  CHECK_TRUE(counts["flood"] < kBurstLines / 2);
   CHECK_TRUE(counts["flood"] >= kLinesPerSecond);
-  LONGS_EQUAL(kFlood + 1, counts["flood"] + left_out);
+  LONGS_EQUAL(kBurstLines + 1, counts["flood"] + left_out);
   LONGS_EQUAL(1, counts["rare"]);
 }
 
-TEST(Log, AReaderThatDoesNotReadCostsNoTime) {
+TEST(Log, LoggingDoesNotBlockWhenOutputIsNotRead) {
   Child child([] {
     const auto start = steady_clock::now();
-    // Each event has its own budget, so only the reader bounds this.
+    // Each event has its own rate limit, so only the reader limits this loop.
     for (int i = 0; i < 20000; ++i) {
       Log(LogLevel::kInfo, "event_" + std::to_string(i), {{"number", i}});
     }
     const auto took = steady_clock::now() - start;
     if (DroppedLogLines() == 0) return 1;
-    // A blocked write would last until the reader comes.
+    // A blocking write would wait until the parent reads.
     return took < std::chrono::seconds(20) ? 0 : 2;
   });
   CHECK_EQUAL(0, child.Wait());
   child.ReadOutput();
 }
 
-TEST(Log, AClosedOutputCostsLinesOnly) {
+TEST(Log, ProcessSurvivesClosedOutput) {
   Child child([] {
-    // As the programs do at their start.
+    // As the programs do at startup.
     std::signal(SIGPIPE, SIG_IGN);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     for (int i = 0; i < 100; ++i) Log(LogLevel::kInfo, "event", {{"n", i}});
--- a/tests/core/metrics_test.cc
+++ b/tests/core/metrics_test.cc
@@ -1,4 +1,4 @@
-// Guards the text that Prometheus reads and the quantile estimates.
+// Guards against invalid Prometheus text and inaccurate quantile estimates.
 #include "core/metrics.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,7 +23,7 @@
 TEST(Metrics, QuantilesOfUniformDurationsAreWithinTwoPercent) {
   Metrics metrics;
   auto& distribution = metrics.distribution("latency_seconds");
-  // 7919 is coprime to 10000, so that every value appears once, unordered.
+  // 7919 is coprime to 10000, so every value occurs once, in mixed order.
   for (int i = 0; i < 10000; ++i) {
     distribution.Record(Duration((i * 7919) % 10000));
   }
--- a/tests/core/registry_test.cc
+++ b/tests/core/registry_test.cc
@@ -1,4 +1,4 @@
-// Guards against a plug-in that silently replaces another of the same name.
+// Guards against a plug-in that silently replaces another one of the same name.
 #include "core/registry.h"
 
 #include <CppUTest/TestHarness.h>
@@ -25,7 +25,7 @@
 
 TEST_GROUP(Registry){};
 
-TEST(Registry, SecondRegistrationOfANameIsRefused) {
+TEST(Registry, RegisteringATakenNameFails) {
   Registry<Shape> registry;
   CHECK(
       registry.Register("shape", [] { return std::make_unique<Polygon>(3); }));
@@ -34,7 +34,7 @@
   LONGS_EQUAL(3, registry.Create("shape")->Sides());
 }
 
-TEST(Registry, UnknownNameGivesNull) {
+TEST(Registry, CreatingAnUnknownNameReturnsNull) {
   Registry<Shape> registry;
   CHECK(registry.Create("none") == nullptr);
 }
--- a/tests/core/settings_test.cc
+++ b/tests/core/settings_test.cc
@@ -1,5 +1,5 @@
-// Guards against settings that are accepted with a fault, or whose faults are
-// reported one at a time.
+// Guards against invalid settings that are accepted, and against errors that
+// are reported one at a time.
 #include "core/settings.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr const char* kGood =
+constexpr const char* kValidSettings =
     R"({
   "instance": "a-1", "data_centre": "a",
   "listen": {"caller": "127.0.0.1:1", "admin": "127.0.0.1:2", "peer": "127.0.0.1:3"},
   "peers": [{"instance": "a-1", "data_centre": "a", "address": "127.0.0.1:3", "voter": true}],
   "data_folder": "/tmp/a-1", "keys": {}, "limits": {"body_bytes": 2048}, "log": {"level": "debug"}})";
 
-bool HasPlace(const Findings& findings, const std::string& place) {
+bool HasFindingAt(const Findings& findings, const std::string& place) {
   for (const auto& finding : findings.items()) {
     if (finding.place == place) return true;
   }
@@ -30,9 +30,9 @@
 
 TEST_GROUP(Settings){};
 
-TEST(Settings, AWholeFileIsRead) {
+TEST(Settings, ValidFileIsParsed) {
   Findings findings;
-  const Settings settings = ParseSettings(kGood, "f.json", &findings);
+  const Settings settings = ParseSettings(kValidSettings, "f.json", &findings);
   CHECK(findings.empty());
   STRCMP_EQUAL("a-1", settings.instance.value().c_str());
   LONGS_EQUAL(2048, settings.limits.body_bytes);
@@ -40,7 +40,7 @@
   CHECK(settings.peers.at(0).voter);
 }
 
-TEST(Settings, TenFaultsGiveTenFindingsWithTheirPlaces) {
+TEST(Settings, EachOfTenErrorsIsReportedWithItsLocation) {
   Findings findings;
   ParseSettings(R"({
     "instance": "a b", "data_centre": 7,
@@ -55,21 +55,21 @@
         "f.json#/keys/operators/0/token_sha256",
         "f.json#/keys/operators/0/role", "f.json#/limits/body_bytes",
         "f.json#/colour"}) {
-    CHECK_TEXT(HasPlace(findings, place), place);
+    CHECK_TEXT(HasFindingAt(findings, place), place);
   }
 }
 
-TEST(Settings, TextThatIsNotJsonIsReportedWithLineAndColumn) {
+TEST(Settings, InvalidJsonIsReportedWithLineAndColumn) {
   Findings findings;
   ParseSettings("{\n \"instance\": }", "f.json", &findings);
   LONGS_EQUAL(1, findings.items().size());
   STRCMP_EQUAL("f.json:2:14", findings.items()[0].place.c_str());
 }
 
-TEST(Settings, AnInstanceMissingFromItsPeersIsReported) {
+TEST(Settings, InstanceMissingFromPeersIsReported) {
   Findings findings;
-  std::string text = kGood;
+  std::string text = kValidSettings;
   text.replace(text.find("\"a-1\""), 5, "\"a-9\"");
   ParseSettings(text, "f.json", &findings);
-  CHECK(HasPlace(findings, "f.json#/peers"));
+  CHECK(HasFindingAt(findings, "f.json#/peers"));
 }
