--- a/servers/serving/endpoint_driver.h
+++ b/servers/serving/endpoint_driver.h
@@ -1,6 +1,6 @@
-// Interface of the plug-ins that know an endpoint protocol. A driver only
-// translates: it has no sockets and no state, so that another protocol is
-// another plug-in and nothing else changes.
+// Interface of plug-ins that implement an endpoint protocol. A driver only
+// translates messages and has no sockets or state, so that supporting another
+// protocol takes only another plug-in.
 #ifndef SERVERS_SERVING_ENDPOINT_DRIVER_H_
 #define SERVERS_SERVING_ENDPOINT_DRIVER_H_
 
@@ -18,7 +18,7 @@
 
 namespace cassiausher {
 
-/// A caller's request, checked and reduced to what routing needs.
+/// A caller's request after validation, with the fields that routing needs.
 struct CallerRequest {
   RequestId id;
   IdempotencyKey key;
@@ -27,7 +27,7 @@
   AccountId account;
   bool idempotent = true;
   bool stream = false;
-  /// Chat completion; else text completion.
+  /// Chat completion, or else text completion.
   bool chat = false;
   /// Path, content type and body as the caller sent them.
   std::string method = "POST";
@@ -37,7 +37,7 @@
   Tokens prompt_tokens{0};
   Tokens max_output_tokens{0};
   std::vector<std::uint64_t> prefix_hashes;
-  /// Last-Event-ID: chunks that the caller has from an earlier connection.
+  /// Last-Event-ID: chunks that the caller received over an earlier connection.
   std::uint64_t received_chunks = 0;
 };
 
@@ -50,7 +50,7 @@
   std::string body;
 };
 
-/// What goes with every call of a request.
+/// Routing data sent with every call of a request.
 struct CallContext {
   std::string pool;  ///< "data centre/service".
   Epoch epoch{0};
@@ -58,12 +58,12 @@
 };
 
 struct PrefillResult {
-  /// Opaque to everyone but the driver; given back to BuildDecode.
+  /// Opaque to all but the driver; passed to BuildDecode().
   std::string transfer_parameters;
   Tokens cached_tokens{0};
 };
 
-/// One piece of a streamed answer. `sequence` starts at 1 for each answer.
+/// One chunk of a streamed answer. `sequence` starts at 1 for each answer.
 struct StreamChunk {
   std::uint64_t sequence = 0;
   std::string text;
@@ -71,12 +71,12 @@
   std::string finish_reason;
 };
 
-/// Splits a streamed answer into chunks. One object for each call.
+/// Splits a streamed answer into chunks; used for one call.
 class ChunkParser {
  public:
   virtual ~ChunkParser() = default;
-  /// Appends the chunks that `bytes` completes. Returns false when the stream
-  /// is malformed.
+  /// Appends the chunks that `bytes` completes. Returns false if the stream is
+  /// malformed.
   virtual bool Feed(std::string_view bytes,
                     std::vector<StreamChunk>* chunks) = 0;
 };
@@ -86,26 +86,27 @@
   virtual ~EndpointDriver() = default;
 
   /// Fills `prompt_tokens`, `max_output_tokens`, `prefix_hashes`, `stream` and
-  /// `service` from `body`. Findings carry JSON pointers.
+  /// `service` from `body`. Findings locate errors by JSON pointer.
   virtual void ParseRequest(CallerRequest* request,
                             Findings* findings) const = 0;
 
   virtual EndpointCall BuildPrefill(const CallerRequest& request,
                                     const CallContext& context,
                                     const std::string& endpoint_url) const = 0;
-  /// Returns false when the answer is malformed.
+  /// Returns false if the response is malformed.
   virtual bool ParsePrefill(std::string_view body,
                             PrefillResult* result) const = 0;
 
-  /// `transfer_parameters` is empty when the engine prefills itself.
-  /// `delivered` is the text the caller has, `delivered_chunks` its chunks.
+  /// `transfer_parameters` is empty if the engine prefills the prompt itself.
+  /// `delivered` is the text that the caller has received, and
+  /// `delivered_chunks` its number of chunks.
   virtual EndpointCall BuildDecode(const CallerRequest& request,
                                    const CallContext& context,
                                    const std::string& endpoint_url,
                                    const std::string& transfer_parameters,
                                    const std::string& delivered,
                                    std::uint64_t delivered_chunks) const = 0;
-  /// Continues the stream that the engine still holds after a chunk.
+  /// Resumes a stream that the engine still holds, after `delivered_chunks`.
   virtual EndpointCall BuildResume(const CallerRequest& request,
                                    const CallContext& context,
                                    const std::string& endpoint_url,
@@ -115,23 +116,23 @@
   virtual EndpointCall BuildCancel(const RequestId& request,
                                    const std::string& endpoint_url) const = 0;
 
-  /// Asks which requests the endpoint holds memory for.
+  /// Lists the requests for which the endpoint holds memory.
   virtual EndpointCall BuildSessions(const std::string& endpoint_url) const = 0;
-  /// Returns false when the answer is malformed.
+  /// Returns false if the response is malformed.
   virtual bool ParseSessions(std::string_view body,
                              std::vector<RequestId>* requests) const = 0;
 
-  /// One event of the stream to the caller.
+  /// Formats one event of the stream to the caller.
   virtual std::string FormatChunk(const CallerRequest& request,
                                   const StreamChunk& chunk) const = 0;
   virtual std::string FormatStreamEnd() const = 0;
-  /// The whole answer to a caller that didn't ask for a stream.
+  /// Formats the complete answer to a caller that didn't request a stream.
   virtual std::string FormatAnswer(const CallerRequest& request,
                                    const std::string& text,
                                    const std::string& finish_reason,
                                    std::uint64_t output_tokens) const = 0;
-  /// Reads what FormatAnswer wrote, as one chunk. Returns false when `answer`
-  /// is something else.
+  /// Parses the output of FormatAnswer() into one chunk. Returns false if
+  /// `answer` is not in that format.
   virtual bool ReadAnswer(bool chat, const std::string& answer,
                           StreamChunk* chunk) const = 0;
 };
--- a/servers/serving/pool_host.cc
+++ b/servers/serving/pool_host.cc
@@ -17,13 +17,13 @@
   const auto credible = directory_.Report(report, now);
   if (credible.has_value()) policy_->Report(*credible, now);
   for (const CacheEvent& event : events) policy_->OnCacheEvent(event, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::SetDrained(const std::set<EndpointId>& drained, Time now) {
   directory_.SetDrained(drained, now);
   DispatchDirectory(now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::DispatchDirectory(Time now) {
@@ -34,7 +34,7 @@
         policy_->UpsertEndpoint(event.info, now);
         break;
       case EndpointEventKind::kSuspect:
-        // It may be dead: no new work until it announces itself again.
+        // It may have failed: no new work until its next announcement.
         event.info.departing = true;
         policy_->UpsertEndpoint(event.info, now);
         break;
@@ -67,13 +67,13 @@
       }
       return;
     }
-    // The report of the failed attempt was lost on its way.
+    // The report that the earlier attempt failed was lost.
     OnCancelled(request.id, now);
   }
   placements_[request.id].request = request;
   ++queued_;
   policy_->Admit(request, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::Adopt(const AdoptedRequest& request, Time now) {
@@ -86,42 +86,42 @@
   placement.grant.prefill = request.prefill;
   placement.grant.decode = request.decode;
   policy_->Adopt(request, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnPrefillFinished(const RequestId& request, Time now) {
   if (!placements_.contains(request)) return;
   policy_->OnPrefillFinished(request, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnFirstToken(const RequestId& request, Time now) {
   if (!placements_.contains(request)) return;
   policy_->OnFirstToken(request, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnFinished(const RequestId& request, Tokens output_tokens,
                           Time now) {
   if (!placements_.contains(request)) return;
-  Forget(request);
+  ErasePlacement(request);
   policy_->OnFinished(request, output_tokens, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnFailed(const RequestId& request, const EndpointId& endpoint,
                         Time now) {
   if (!placements_.contains(request)) return;
-  Forget(request);
+  ErasePlacement(request);
   policy_->OnFailed(request, endpoint, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnCancelled(const RequestId& request, Time now) {
   if (!placements_.contains(request)) return;
-  Forget(request);
+  ErasePlacement(request);
   policy_->OnCancelled(request, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnEntryLost(const InstanceId& entry, Time now) {
@@ -129,14 +129,14 @@
   for (const auto& [id, placement] : placements_) {
     if (placement.request.entry == entry) lost.push_back(id);
   }
-  for (const RequestId& id : lost) Forget(id);
+  for (const RequestId& id : lost) ErasePlacement(id);
   policy_->OnEntryLost(entry, now);
-  Collect();
+  CollectOutputs();
 }
 
 void PoolHost::OnCancelUnconfirmed(const EndpointId& endpoint, Time now) {
   policy_->OnCancelUnconfirmed(endpoint, now);
-  Collect();
+  CollectOutputs();
 }
 
 std::string PoolHost::UrlOf(const EndpointId& endpoint) const {
@@ -164,7 +164,7 @@
     const Time first = seen == orphans_.end() ? now : seen->second;
     const Duration grace = entry_is_live(session)
                                ? options_.orphan_grace
-                               : options_.orphan_grace_of_lost;
+                               : options_.lost_entry_orphan_grace;
     if (now - first < grace) {
       still_orphans[key] = first;
       continue;
@@ -173,7 +173,7 @@
         {CancelOrder{.request = session, .endpoint = endpoint, .url = url},
          0,
          {}});
-    // Ordered again if the next list still has it.
+    // The order is repeated if the next list still has the session.
     still_orphans[key] = first;
   }
   std::erase_if(orphans_,
@@ -187,17 +187,17 @@
     DispatchDirectory(now);
   }
   policy_->Tick(now);
-  Collect();
+  CollectOutputs();
 }
 
-void PoolHost::Forget(const RequestId& request) {
+void PoolHost::ErasePlacement(const RequestId& request) {
   const auto found = placements_.find(request);
   if (found == placements_.end()) return;
   if (!found->second.granted) --queued_;
   placements_.erase(found);
 }
 
-void PoolHost::Collect() {
+void PoolHost::CollectOutputs() {
   for (RouteOutput& output : policy_->TakeOutputs()) {
     int attempt = 0;
     RouteRequest request;
@@ -214,7 +214,7 @@
       if (found == placements_.end()) continue;
       request = found->second.request;
       attempt = request.attempt;
-      Forget(refusal->request);
+      ErasePlacement(refusal->request);
     }
     outputs_.push_back({std::move(output), attempt, std::move(request)});
   }
--- a/servers/serving/pool_host.h
+++ b/servers/serving/pool_host.h
@@ -1,5 +1,6 @@
-// One pool at its owner instance: the routing policy, the endpoints' liveness
-// and the open placement requests. A repeated request gets the same answer.
+// State of one pool on its owner instance: the routing policy, the liveness of
+// endpoints and the open placement requests. A repeated placement request gets
+// the same answer.
 #ifndef SERVERS_SERVING_POOL_HOST_H_
 #define SERVERS_SERVING_POOL_HOST_H_
 
@@ -24,18 +25,20 @@
 
 struct PoolHostOptions {
   EndpointDirectoryOptions directory;
-  /// A live entry instance offers its placed requests every two seconds, so a
-  /// session that stays unknown for longer belongs to nobody.
+  /// Time until an unknown session is cancelled. A live entry instance
+  /// announces its placed requests every two seconds, so a session that stays
+  /// unknown for longer has no owner.
   Duration orphan_grace = Milliseconds(4500);
-  /// A session may be listed just before its placement is known here.
-  Duration orphan_grace_of_lost = Milliseconds(500);
+  /// The same if the entry instance isn't live. Not 0, since a session may be
+  /// listed just before its placement is known here.
+  Duration lost_entry_orphan_grace = Milliseconds(500);
 };
 
-/// An answer of the policy with the attempt it belongs to.
+/// An output of the policy and the attempt to which it belongs.
 struct PoolOutput {
   RouteOutput output;
   int attempt = 0;
-  /// With a RouteRefusal: the request, so that it can be passed on.
+  /// Set with a RouteRefusal, so that the request can be forwarded.
   RouteRequest request;
 };
 
@@ -45,11 +48,12 @@
 
   void Announce(const EndpointInfo& info, const LoadReport& report,
                 const std::vector<CacheEvent>& events, Time now);
-  /// Endpoints that operators drain, from the configuration.
+  /// Sets the endpoints that the configuration drains.
   void SetDrained(const std::set<EndpointId>& drained, Time now);
 
-  /// An entry instance repeats its request until it is answered. A request
-  /// that is open is not asked twice; one already granted is granted again.
+  /// Idempotent, as an entry instance repeats its request until it is answered:
+  /// an open request isn't passed to the policy twice, and a granted one gets
+  /// the same grant again.
   void Admit(const RouteRequest& request, Time now);
   void Adopt(const AdoptedRequest& request, Time now);
   void OnPrefillFinished(const RequestId& request, Time now);
@@ -59,9 +63,10 @@
   void OnCancelled(const RequestId& request, Time now);
   void OnEntryLost(const InstanceId& entry, Time now);
   void OnCancelUnconfirmed(const EndpointId& endpoint, Time now);
-  /// What an endpoint holds. A request that this pool didn't place there, or
-  /// whose entry instance isn't live, is cancelled: at once when the entry is
-  /// gone, else after a grace in which its entry may still offer it.
+  /// Handles the list of requests for which an endpoint holds memory. A request
+  /// that this pool didn't place there is cancelled after a grace period, in
+  /// which its entry instance may still announce it. The period is short if the
+  /// entry instance isn't live.
   void OnSessions(const EndpointId& endpoint,
                   const std::vector<RequestId>& sessions,
                   const std::function<bool(const RequestId&)>& entry_is_live,
@@ -74,12 +79,12 @@
   RoutingPolicy& policy() { return *policy_; }
   const RoutingPolicy& policy() const { return *policy_; }
 
-  /// Requests without an answer yet.
+  /// Placement requests without an answer.
   int queued() const { return queued_; }
-  /// Endpoints that announced themselves in time.
+  /// Endpoints that are alive or suspect.
   int live_endpoints() const { return live_endpoints_; }
   const EndpointDirectory& directory() const { return directory_; }
-  /// The request of an open or granted placement.
+  /// The request of an open or granted placement; null if there is none.
   const RouteRequest* Find(const RequestId& request) const;
 
  private:
@@ -88,9 +93,9 @@
     bool granted = false;
     Grant grant;
   };
-  void Forget(const RequestId& request);
-  void Collect();
-  /// Passes what the directory found out to the policy.
+  void ErasePlacement(const RequestId& request);
+  void CollectOutputs();
+  /// Passes events of the endpoint directory to the policy.
   void DispatchDirectory(Time now);
   /// Empty if the endpoint isn't known.
   std::string UrlOf(const EndpointId& endpoint) const;
@@ -101,10 +106,9 @@
   EndpointDirectory directory_;
   int live_endpoints_ = 0;
   std::vector<PoolOutput> outputs_;
-  /// Sessions that nobody is known to wait for, with the time they were first
-  /// listed.
+  /// Sessions without a known placement, and when they were first listed.
   std::map<std::pair<EndpointId, RequestId>, Time> orphans_;
-  /// Placements with `granted` false.
+  /// Number of placements that aren't granted.
   int queued_ = 0;
 };
 
--- a/servers/serving/request_flow.cc
+++ b/servers/serving/request_flow.cc
@@ -6,9 +6,9 @@
 namespace cassiausher {
 namespace {
 
-// Chunks kept that arrived before their turn. A gap larger than this is a
-// broken stream.
-constexpr std::size_t kMaxEarlyChunks = 1024;
+// Maximum number of chunks that wait for an earlier one. With more, the stream
+// counts as broken.
+constexpr std::size_t kMaxOutOfOrderChunks = 1024;
 
 }  // namespace
 
@@ -20,9 +20,9 @@
       delivered_(
           static_cast<std::uint64_t>(request_.delivered_tokens.value())) {}
 
-void RequestFlow::Start(Time now) { Ask(now); }
+void RequestFlow::Start(Time now) { SendPlacementRequest(now); }
 
-void RequestFlow::Ask(Time now) {
+void RequestFlow::SendPlacementRequest(Time now) {
   state_ = State::kPlacing;
   deadline_ = now + options_.place_retry;
   Emit(RequestPlacement{request_});
@@ -67,7 +67,7 @@
 }
 
 void RequestFlow::OnOwnerChanged(Time now) {
-  if (state_ == State::kPlacing) Ask(now);
+  if (state_ == State::kPlacing) SendPlacementRequest(now);
 }
 
 void RequestFlow::OnPrefillDone(FlowCallId call, const PrefillResult& result,
@@ -79,7 +79,7 @@
 
 void RequestFlow::OnPrefillFailed(FlowCallId call, CallOutcome, Time now) {
   if (state_ != State::kPrefill || call != call_) return;
-  PlaceAgain(grant_.prefill, now);
+  RetryPlacement(grant_.prefill, now);
 }
 
 void RequestFlow::BeginDecode(const std::string& transfer_parameters,
@@ -98,25 +98,26 @@
 
 void RequestFlow::OnChunk(FlowCallId call, StreamChunk chunk, Time now) {
   if (state_ != State::kDecode || call != call_) return;
-  if (chunk.sequence <= delivered_) return;  // A repeated chunk.
+  if (chunk.sequence <= delivered_) return;  // Duplicate.
   resumes_ = 0;
   deadline_ = now + grant_.between_tokens_timeout;
-  early_.emplace(chunk.sequence, std::move(chunk));
-  if (early_.size() > kMaxEarlyChunks) {
+  out_of_order_.emplace(chunk.sequence, std::move(chunk));
+  if (out_of_order_.size() > kMaxOutOfOrderChunks) {
     Resume(now);
     return;
   }
-  DeliverReady(now);
+  DeliverInOrder(now);
 }
 
-void RequestFlow::DeliverReady(Time) {
-  while (!early_.empty() && early_.begin()->first == delivered_ + 1) {
-    StreamChunk chunk = std::move(early_.begin()->second);
-    early_.erase(early_.begin());
+void RequestFlow::DeliverInOrder(Time) {
+  while (!out_of_order_.empty() &&
+         out_of_order_.begin()->first == delivered_ + 1) {
+    StreamChunk chunk = std::move(out_of_order_.begin()->second);
+    out_of_order_.erase(out_of_order_.begin());
     ++delivered_;
     if (!first_token_reported_) {
       first_token_reported_ = true;
-      // The KV cache has left the prefill engine by now.
+      // The KV cache has been transferred from the prefill engine.
       prefill_held_ = false;
       Emit(ReportProgress{FlowProgress::kFirstToken, grant_.decode, {}});
     }
@@ -144,20 +145,20 @@
     Resume(now);
     return;
   }
-  // The engine started nothing in this call, unless the call resumed an
-  // earlier one.
+  // The engine didn't start the request in this call, so the previous value
+  // holds, unless the call resumed an earlier one.
   if (resumes_ == 0 && delivered_ == 0) decode_sent_ = decode_sent_before_;
-  PlaceAgain(grant_.decode, now);
+  RetryPlacement(grant_.decode, now);
 }
 
 void RequestFlow::Resume(Time now) {
-  LeaveCall();
+  StopCurrentCall();
   if (resumes_ >= options_.max_resumes) {
-    PlaceAgain(grant_.decode, now);
+    RetryPlacement(grant_.decode, now);
     return;
   }
   ++resumes_;
-  early_.clear();
+  out_of_order_.clear();
   call_ = next_call_++;
   deadline_ = now + grant_.first_token_timeout;
   Emit(StartDecode{.call = call_,
@@ -167,11 +168,11 @@
                    .resume = true});
 }
 
-void RequestFlow::PlaceAgain(const EndpointId& failed, Time now) {
-  LeaveCall();
-  CancelHolders();
+void RequestFlow::RetryPlacement(const EndpointId& failed, Time now) {
+  StopCurrentCall();
+  CancelAtHolders();
   Emit(ReportProgress{FlowProgress::kFailed, failed, {}});
-  early_.clear();
+  out_of_order_.clear();
   if (!request_.idempotent && decode_sent_) {
     Fail(FailureKind::kOutcomeUnknown, Duration(0),
          "the engine failed after the request was sent to it");
@@ -185,7 +186,7 @@
   ++request_.attempt;
   request_.delivered_tokens = Tokens(static_cast<std::int64_t>(delivered_));
   request_.avoid.push_back(failed);
-  Ask(now);
+  SendPlacementRequest(now);
 }
 
 void RequestFlow::Fail(FailureKind kind, Duration retry_after,
@@ -201,20 +202,20 @@
 void RequestFlow::OnCallerGone(Time) {
   if (state_ == State::kDone) return;
   const bool was_placed = placed();
-  LeaveCall();
-  if (was_placed) CancelHolders();
+  StopCurrentCall();
+  if (was_placed) CancelAtHolders();
   Emit(ReportProgress{FlowProgress::kCancelled, {}, {}});
   state_ = State::kDone;
   deadline_ = Time::max();
 }
 
-void RequestFlow::LeaveCall() {
+void RequestFlow::StopCurrentCall() {
   if (call_ == 0) return;
   Emit(StopCall{call_});
   call_ = 0;
 }
 
-void RequestFlow::CancelHolders() {
+void RequestFlow::CancelAtHolders() {
   if (prefill_held_) {
     Emit(CancelAtEndpoint{grant_.prefill, grant_.prefill_url});
     prefill_held_ = false;
@@ -234,10 +235,10 @@
              "no pool owner answered");
         return;
       }
-      Ask(now);
+      SendPlacementRequest(now);
       return;
     case State::kPrefill:
-      PlaceAgain(grant_.prefill, now);
+      RetryPlacement(grant_.prefill, now);
       return;
     case State::kDecode:
       Resume(now);
--- a/servers/serving/request_flow.h
+++ b/servers/serving/request_flow.h
@@ -1,6 +1,6 @@
-// The life of one request at its entry instance: place, prefill, decode, resume
-// and end. A state machine without sockets or clocks; the serving task carries
-// out its outputs.
+// State machine of one request on its entry instance: placement, prefill,
+// decode, resumption and completion. It has no sockets or clocks; the serving
+// task executes its outputs.
 #ifndef SERVERS_SERVING_REQUEST_FLOW_H_
 #define SERVERS_SERVING_REQUEST_FLOW_H_
 
@@ -18,8 +18,8 @@
 
 namespace cassiausher {
 
-/// Identifies one call to an endpoint. Events of a call that the flow has left
-/// are dropped, so that a late answer can't reach the caller.
+/// Identifies one call to an endpoint. Events of a call that is no longer
+/// current are dropped, so that a late response can't reach the caller.
 using FlowCallId = std::uint64_t;
 
 struct RequestPlacement {
@@ -35,13 +35,13 @@
   EndpointId endpoint;
   std::string url;
   std::string transfer_parameters;
-  /// Continue the stream the engine still holds instead of starting one.
+  /// Resume the stream that the engine still holds instead of starting one.
   bool resume = false;
 };
 struct StopCall {
   FlowCallId call = 0;
 };
-/// Free what the endpoint holds; repeat until it confirms.
+/// Free the request's memory at the endpoint; repeated until it confirms.
 struct CancelAtEndpoint {
   EndpointId endpoint;
   std::string url;
@@ -65,7 +65,7 @@
 
 struct FailAnswer {
   FailureKind kind = FailureKind::kUnavailable;
-  /// The request was not executed, and will not be.
+  /// The request was not executed and never will be.
   bool not_run = false;
   Duration retry_after{0};
   std::string message;
@@ -89,35 +89,36 @@
                                 CompleteAnswer, FailAnswer, ReportProgress>;
 
 struct RequestFlowOptions {
-  /// Placements of one request, the first included.
+  /// Maximum number of placements of a request, the first included.
   int max_attempts = 4;
-  /// Connections in a row to one engine that bring no chunk.
+  /// Maximum number of consecutive resume calls to an engine without a chunk.
   int max_resumes = 2;
-  /// A placement request without an answer for this long is sent again:
-  /// the owner may have died, or passed the pool on.
+  /// A placement request without an answer for this long is sent again, since
+  /// the owner may have failed or handed the pool over.
   Duration place_retry = Milliseconds(700);
-  /// A request without a place for this long gets its final answer.
+  /// A request that isn't placed within this time fails.
   Duration place_timeout = Seconds(30);
   Duration unavailable_retry_after = Seconds(1);
 };
 
 enum class CallOutcome {
   kNotSent,   ///< No connection; the endpoint saw nothing.
-  kRefused,   ///< The endpoint answered and did not start.
+  kRefused,   ///< The endpoint refused the call and didn't start the request.
   kNotFound,  ///< The endpoint no longer holds the KV cache or the stream.
-  kBroken,    ///< The connection broke, or the answer was malformed.
+  kBroken,    ///< The connection broke, or the response was malformed.
 };
 
 class RequestFlow {
  public:
-  /// `request.delivered_tokens` above 0: the caller has those chunks from an
-  /// earlier connection, and the answer goes on after them.
+  /// If `request.delivered_tokens` is above 0, the caller has received that
+  /// many chunks over an earlier connection, and the answer resumes after them.
   RequestFlow(RouteRequest request, RequestFlowOptions options, Time now);
 
   void Start(Time now);
   void OnGrant(const Grant& grant, Time now);
   void OnRefusal(const RouteRefusal& refusal, Time now);
-  /// The pool has another owner: asks again, or is adopted by it.
+  /// The pool has a new owner: requests placement from it, unless the request
+  /// is placed and so will be adopted.
   void OnOwnerChanged(Time now);
 
   void OnPrefillDone(FlowCallId call, const PrefillResult& result, Time now);
@@ -127,7 +128,7 @@
 
   void OnCallerGone(Time now);
   void Tick(Time now);
-  /// When Tick must run next.
+  /// When Tick() must run next.
   Time deadline() const { return deadline_; }
 
   std::vector<FlowOutput> TakeOutputs();
@@ -136,12 +137,12 @@
   const RouteRequest& request() const { return request_; }
   /// Chunks delivered to the caller so far.
   std::uint64_t delivered() const { return delivered_; }
-  /// Whether a new pool owner must learn of this request.
+  /// Whether the request holds a placement, which a new pool owner must adopt.
   bool placed() const {
     return state_ == State::kPrefill || state_ == State::kDecode;
   }
   AdoptedRequest ToAdopted() const;
-  /// False: no engine has seen the request beyond its prefill.
+  /// If false, no engine has received the request beyond its prefill.
   bool decode_sent() const { return decode_sent_; }
 
  private:
@@ -151,15 +152,15 @@
   void Emit(Output output) {
     outputs_.emplace_back(std::move(output));
   }
-  void Ask(Time now);
+  void SendPlacementRequest(Time now);
   void BeginDecode(const std::string& transfer_parameters, Time now);
   void Resume(Time now);
-  void PlaceAgain(const EndpointId& failed, Time now);
-  void DeliverReady(Time now);
+  void RetryPlacement(const EndpointId& failed, Time now);
+  void DeliverInOrder(Time now);
   void Complete(const std::string& finish_reason);
   void Fail(FailureKind kind, Duration retry_after, std::string message);
-  void LeaveCall();
-  void CancelHolders();
+  void StopCurrentCall();
+  void CancelAtHolders();
 
   RouteRequest request_;
   RequestFlowOptions options_;
@@ -170,19 +171,20 @@
   FlowCallId next_call_ = 1;
   FlowCallId call_ = 0;
   int resumes_ = 0;
-  /// A decode call may have reached an engine. From then on `not_run` is never
-  /// promised, and a non-idempotent request is never placed again.
+  /// A decode call may have reached an engine. From then on, `not_run` is never
+  /// set and a non-idempotent request is never placed again.
   bool decode_sent_ = false;
-  /// The value before the present decode call, restored when the engine
-  /// answers that it did not start.
+  /// The value before the current decode call, restored if the engine reports
+  /// that it didn't start the request.
   bool decode_sent_before_ = false;
+  /// The prefill engine may still hold the prompt's KV cache.
   bool prefill_held_ = false;
-  /// The pool owner has heard of the first token of the present place.
+  /// The first token of the current placement was reported to the pool owner.
   bool first_token_reported_ = false;
-  /// Chunks arrive with their number; `delivered_` counts those passed on in
-  /// order, `early_` holds those that came before their turn.
+  /// Number of chunks delivered to the caller, in order of their sequence
+  /// numbers; chunks received out of order wait in `out_of_order_`.
   std::uint64_t delivered_ = 0;
-  std::map<std::uint64_t, StreamChunk> early_;
+  std::map<std::uint64_t, StreamChunk> out_of_order_;
   std::vector<FlowOutput> outputs_;
 };
 
