--- a/tests/serving/openai_driver_test.cc
+++ b/tests/serving/openai_driver_test.cc
@@ -1,4 +1,5 @@
-// Guards the translation between callers' requests and engine calls.
+// Guards against errors in the translation between callers' requests and engine
+// calls, and in parsing streams that are split at any byte.
 #include "modules/openai_endpoint/openai_driver.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,7 +25,7 @@
 
 TEST_GROUP(OpenAiDriver){};
 
-TEST(OpenAiDriver, FieldsOfTheCallerThatTheRouterSetsAreReplaced) {
+TEST(OpenAiDriver, RouterFieldsReplaceThoseOfTheCaller) {
   Findings findings;
   const CallerRequest request = Parse(
       R"({"model":"m","prompt":"abcde","max_tokens":7,"stream":true,"priority":-5,"temperature":0})",
@@ -42,13 +43,13 @@
   LONGS_EQUAL(0, body["temperature"].get<int>());
 }
 
-TEST(OpenAiDriver, EveryFaultOfABodyIsReported) {
+TEST(OpenAiDriver, EveryErrorInABodyIsReported) {
   Findings findings;
   Parse(R"({"model":"m","prompt":3,"max_tokens":0,"stream":"yes"})", &findings);
   LONGS_EQUAL(3, findings.items().size());
 }
 
-TEST(OpenAiDriver, ChunksCutAtAnyByteAreReadWhole) {
+TEST(OpenAiDriver, ChunksSplitAtAnyByteAreParsed) {
   const std::string stream =
       "id: 1\ndata: {\"choices\":[{\"text\":\"a\",\"finish_reason\":null}]}\n\n"
       "id: 2\r\ndata: "
@@ -65,7 +66,7 @@
   }
 }
 
-TEST(OpenAiDriver, MalformedChunksAreRefused) {
+TEST(OpenAiDriver, MalformedChunksAreRejected) {
   for (const char* bad : {"data: {\n\n", "data: 3\n\n", "id: x\ndata: {}\n\n",
                           "data: {\"choices\":[{\"text\":1}]}\n\n"}) {
     const auto parser = OpenAiDriver().NewChunkParser(false);
--- a/tests/serving/pool_host_test.cc
+++ b/tests/serving/pool_host_test.cc
@@ -1,5 +1,6 @@
-// Guards a pool against repeated requests, lost entry instances and memory
-// that endpoints hold for nobody.
+// Guards against double placement of repeated requests, and against slots and
+// engine memory that stay occupied after an entry instance is lost or for
+// unknown sessions.
 #include "servers/serving/pool_host.h"
 
 #include <CppUTest/TestHarness.h>
@@ -54,7 +55,7 @@
     host->Announce(Decode("d1"), report, {}, At(ms));
   }
 
-  void Ask(const char* id, int ms) {
+  void Admit(const char* id, int ms) {
     RouteRequest request;
     request.id = RequestId(id);
     request.entry = InstanceId("entry");
@@ -85,14 +86,14 @@
 
 TEST(PoolHost, ARepeatedRequestGetsTheSameGrantAndOneSlot) {
   Pool pool;
-  pool.Ask("r1", 1);
+  pool.Admit("r1", 1);
   LONGS_EQUAL(1, pool.Take<Grant>());
-  pool.Ask("r1", 2);
+  pool.Admit("r1", 2);
   LONGS_EQUAL(1, pool.Take<Grant>());
   LONGS_EQUAL(1, pool.host->policy().Requests(At(3)).size());
 }
 
-TEST(PoolHost, ASessionThatNobodyPlacedIsCancelledAfterItsGrace) {
+TEST(PoolHost, AnUnknownSessionIsCancelledAfterTheGracePeriod) {
   Pool pool;
   const std::vector<RequestId> sessions = {RequestId("stranger")};
   const auto live = [](const RequestId&) { return true; };
@@ -103,30 +104,31 @@
   LONGS_EQUAL(1, pool.Take<CancelOrder>());
 }
 
-TEST(PoolHost, ASessionOfAGoneEntryInstanceIsCancelledSoon) {
+TEST(PoolHost, AnUnknownSessionOfALostEntryInstanceIsCancelledSooner) {
   Pool pool;
   const std::vector<RequestId> sessions = {RequestId("stranger")};
-  const auto gone = [](const RequestId&) { return false; };
-  pool.host->OnSessions(EndpointId("d1"), sessions, gone, At(100));
-  pool.host->OnSessions(EndpointId("d1"), sessions, gone, At(1100));
+  const auto not_live = [](const RequestId&) { return false; };
+  pool.host->OnSessions(EndpointId("d1"), sessions, not_live, At(100));
+  pool.host->OnSessions(EndpointId("d1"), sessions, not_live, At(1100));
   LONGS_EQUAL(1, pool.Take<CancelOrder>());
 }
 
-TEST(PoolHost, SessionsOfPlacedRequestsStay) {
+TEST(PoolHost, SessionsOfPlacedRequestsAreNotCancelled) {
   Pool pool;
-  pool.Ask("r1", 1);
+  pool.Admit("r1", 1);
   pool.Take<Grant>();
-  const auto gone = [](const RequestId&) { return false; };
+  const auto not_live = [](const RequestId&) { return false; };
   for (int ms = 100; ms < 10000; ms += 1000) {
-    pool.host->OnSessions(EndpointId("d1"), {RequestId("r1")}, gone, At(ms));
+    pool.host->OnSessions(EndpointId("d1"), {RequestId("r1")}, not_live,
+                          At(ms));
   }
   LONGS_EQUAL(0, pool.Take<CancelOrder>());
 }
 
-TEST(PoolHost, ALostEntryInstanceFreesItsSlotsAndTheEnginesMemory) {
+TEST(PoolHost, LossOfAnEntryInstanceFreesItsSlotsAndEngineMemory) {
   Pool pool;
-  pool.Ask("r1", 1);
-  pool.Ask("r2", 1);
+  pool.Admit("r1", 1);
+  pool.Admit("r2", 1);
   pool.Take<Grant>();
   pool.host->OnEntryLost(InstanceId("entry"), At(10));
   LONGS_EQUAL(2, pool.Take<CancelOrder>());
@@ -136,6 +138,6 @@
 TEST(PoolHost, ASilentEndpointGetsNoNewWork) {
   Pool pool;
   pool.host->Tick(At(2000));
-  pool.Ask("r1", 2001);
+  pool.Admit("r1", 2001);
   LONGS_EQUAL(0, pool.Take<Grant>());
 }
--- a/tests/serving/request_flow_test.cc
+++ b/tests/serving/request_flow_test.cc
@@ -1,5 +1,5 @@
-// Guards the answer of one request against late, repeated and missing pieces,
-// and the promise of not_run.
+// Guards against late, duplicate and lost chunks in an answer, second runs of a
+// non-idempotent request, and a wrong not_run.
 #include "servers/serving/request_flow.h"
 
 #include <CppUTest/TestHarness.h>
@@ -56,8 +56,8 @@
     return text;
   }
 
-  void GrantPlace(int ms, const char* prefill = "p1",
-                  const char* decode = "d1") {
+  void GrantPlacement(int ms, const char* prefill = "p1",
+                      const char* decode = "d1") {
     Grant grant;
     grant.prefill = EndpointId(prefill);
     grant.decode = EndpointId(decode);
@@ -69,7 +69,7 @@
   }
 
   void ReachDecode(int ms) {
-    GrantPlace(ms);
+    GrantPlacement(ms);
     flow.OnPrefillDone(Last<StartPrefill>()->call,
                        {.transfer_parameters = "{}"}, At(ms));
     Take();
@@ -89,7 +89,7 @@
 
 TEST_GROUP(RequestFlow){};
 
-TEST(RequestFlow, LateAndRepeatedChunksReachTheCallerOnceInOrder) {
+TEST(RequestFlow, OutOfOrderAndDuplicateChunksAreDeliveredOnceInOrder) {
   Driver driver;
   driver.ReachDecode(10);
   driver.Chunk(2, "b");
@@ -102,7 +102,7 @@
   CHECK(driver.flow.done());
 }
 
-TEST(RequestFlow, ChunksOfAnAbandonedCallAreDropped) {
+TEST(RequestFlow, ChunksOfAnEndedCallAreDropped) {
   Driver driver;
   driver.ReachDecode(10);
   const FlowCallId old_call = driver.Last<StartDecode>()->call;
@@ -115,7 +115,7 @@
   STRCMP_EQUAL("ab", driver.Text().c_str());
 }
 
-TEST(RequestFlow, ASilentStreamIsResumedThenPlacedOnAnotherEngine) {
+TEST(RequestFlow, AStalledStreamIsResumedThenPlacedOnAnotherEngine) {
   Driver driver;
   driver.ReachDecode(10);
   driver.Chunk(1, "a");
@@ -130,7 +130,7 @@
   LONGS_EQUAL(1, again.attempt);
   LONGS_EQUAL(1, again.delivered_tokens.value());
   STRCMP_EQUAL("d1", again.avoid.at(0).value().c_str());
-  driver.GrantPlace(540, "", "d2");
+  driver.GrantPlacement(540, "", "d2");
   driver.Chunk(2, "b", "stop");
   STRCMP_EQUAL("ab", driver.Text().c_str());
 }
@@ -161,7 +161,7 @@
   CHECK(driver.Last<FailAnswer>()->not_run);
 }
 
-TEST(RequestFlow, NotRunIsNotPromisedAfterABrokenDecodeCall) {
+TEST(RequestFlow, NotRunIsNotSetAfterABrokenDecodeCall) {
   Driver driver;
   driver.ReachDecode(10);
   const FlowCallId first = driver.Last<StartDecode>()->call;
@@ -175,7 +175,7 @@
   CHECK_FALSE(driver.Last<FailAnswer>()->not_run);
 }
 
-TEST(RequestFlow, ACallerThatLeavesFreesBothEngines) {
+TEST(RequestFlow, ACallerDisconnectCancelsAtBothEngines) {
   Driver driver;
   driver.ReachDecode(10);
   driver.flow.OnCallerGone(At(20));
@@ -185,11 +185,11 @@
   CHECK(driver.Last<ReportProgress>()->kind == FlowProgress::kCancelled);
 }
 
-TEST(RequestFlow, EveryRequestEndsWithOneAnswerWhenAllAttemptsFail) {
+TEST(RequestFlow, ARequestFailsOnceWhenAllAttemptsFail) {
   Driver driver;
   int ms = 10;
   while (!driver.flow.done() && ms < 1000) {
-    driver.GrantPlace(ms);
+    driver.GrantPlacement(ms);
     driver.flow.OnPrefillFailed(driver.Last<StartPrefill>()->call,
                                 CallOutcome::kNotSent, At(ms));
     driver.Take();
@@ -201,7 +201,7 @@
   LONGS_EQUAL(4, driver.Count<StartPrefill>());
 }
 
-TEST(RequestFlow, AReconnectedCallerGetsTheChunksAfterThoseItHas) {
+TEST(RequestFlow, AReconnectedCallerGetsOnlyTheChunksItLacks) {
   RequestFlow flow({.id = RequestId("r"), .delivered_tokens = Tokens(2)}, {},
                    At(0));
   flow.Start(At(0));
@@ -218,14 +218,14 @@
   CHECK(flow.done());
 }
 
-TEST(RequestFlow, EachPlaceReportsItsOwnFirstToken) {
+TEST(RequestFlow, EachPlacementReportsItsOwnFirstToken) {
   Driver driver;
   driver.ReachDecode(10);
   driver.Chunk(1, "a");
   driver.flow.OnDecodeFailed(driver.Last<StartDecode>()->call,
                              CallOutcome::kNotFound, At(30));
   driver.Take();
-  driver.GrantPlace(40, "", "d2");
+  driver.GrantPlacement(40, "", "d2");
   driver.Chunk(2, "b", "stop");
   int first_tokens = 0;
   for (const FlowOutput& output : driver.outputs) {
