--- a/drivers/close_watcher.cc
+++ b/drivers/close_watcher.cc
@@ -45,7 +45,7 @@
       epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), 0);
   for (int i = 0; i < count; ++i) {
     const auto found = callbacks_.find(events[i].data.fd);
-    // An earlier callback of this batch may have removed the connection.
+    // An earlier callback in this batch may have removed the connection.
     if (found == callbacks_.end()) continue;
     const std::function<void()> on_close = std::move(found->second);
     Remove(events[i].data.fd);
--- a/drivers/http_client.cc
+++ b/drivers/http_client.cc
@@ -10,12 +10,13 @@
 namespace cassiausher {
 namespace {
 
-// Idle connections that a client keeps for calls that may reuse them.
+// Maximum idle connections that a client keeps for reuse.
 constexpr long kMaxIdleConnections = 64;
-// An idle connection older than this is closed before a middlebox forgets it.
+// Idle connections are closed after this time, before a middlebox drops their
+// state.
 constexpr long kIdleTimeoutSeconds = 20;
-// One buffer for each open call.
-constexpr long kReadBytes = 8 << 10;
+// Size of the read buffer, of which each open call has one.
+constexpr long kReadBufferBytes = 8 << 10;
 constexpr int kFirstFinalStatus = 200;
 
 struct SoupHeadersUnref {
@@ -58,8 +59,8 @@
   std::string request_body;
   Loop* loop = nullptr;
 
-  // What has arrived and is not yet delivered. libcurl's callbacks must not
-  // start or cancel calls, so sinks are called after them.
+  // Received but not yet delivered. Sinks may start or cancel calls, which
+  // isn't allowed in libcurl's callbacks, so they are called afterwards.
   int status = 0;
   SoupHeadersPtr headers = NewHeaders();
   bool headers_complete = false;
@@ -82,14 +83,14 @@
   }
 };
 
-// Runs libcurl's transfers on a GLib main context.
+// Drives libcurl's transfers from a GLib main context.
 struct HttpClient::Loop {
   HttpClient* client = nullptr;
   GMainContext* context = nullptr;
   CURLM* multi = nullptr;
   std::map<curl_socket_t, GSourcePtr> sockets;
   GSourcePtr timer;
-  /// Calls with something to deliver.
+  /// Calls that have something to deliver, in order of arrival.
   std::deque<CallId> ready;
 
   explicit Loop(HttpClient* owner) : client(owner), multi(curl_multi_init()) {
@@ -121,7 +122,7 @@
       if ((events & (G_IO_IN | G_IO_HUP)) != 0) mask |= CURL_CSELECT_IN;
       if ((events & G_IO_OUT) != 0) mask |= CURL_CSELECT_OUT;
       if ((events & G_IO_ERR) != 0) mask |= CURL_CSELECT_ERR;
-      static_cast<Loop*>(loop)->Act(descriptor, mask);
+      static_cast<Loop*>(loop)->DriveTransfers(descriptor, mask);
       return G_SOURCE_CONTINUE;
     };
     g_source_set_callback(source, G_SOURCE_FUNC(ready), self, nullptr);
@@ -137,7 +138,7 @@
     g_source_set_callback(
         source,
         [](gpointer loop) -> gboolean {
-          static_cast<Loop*>(loop)->Act(CURL_SOCKET_TIMEOUT, 0);
+          static_cast<Loop*>(loop)->DriveTransfers(CURL_SOCKET_TIMEOUT, 0);
           return G_SOURCE_REMOVE;
         },
         self, nullptr);
@@ -145,7 +146,7 @@
     return 0;
   }
 
-  void Act(curl_socket_t socket, int mask) {
+  void DriveTransfers(curl_socket_t socket, int mask) {
     int running = 0;
     curl_multi_socket_action(multi, socket, mask, &running);
     int left = 0;
@@ -195,9 +196,9 @@
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-  curl_easy_setopt(easy, CURLOPT_BUFFERSIZE, kReadBytes);
+  curl_easy_setopt(easy, CURLOPT_BUFFERSIZE, kReadBufferBytes);
   curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, kIdleTimeoutSeconds);
-  // libcurl sends a call again when a pooled connection turns out to be closed.
+  // libcurl resends a call when a pooled connection turns out to be closed.
   const bool fresh =
       call.new_connection || (!call.repeatable && call.method != "GET");
   curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, fresh ? 1L : 0L);
@@ -214,14 +215,14 @@
   if (call.method == "HEAD") curl_easy_setopt(easy, CURLOPT_NOBODY, 1L);
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call.method.c_str());
 
-  // Without a value these keep libcurl from adding headers of its own.
+  // A header line without a value stops libcurl from adding its default header.
   curl_slist* list = nullptr;
-  bool accepts = false;
-  bool typed = !call.content_type.empty();
+  bool has_accept = false;
+  bool has_content_type = !call.content_type.empty();
   for (const auto& [name, value] : call.headers) {
-    accepts |= g_ascii_strcasecmp(name.c_str(), "Accept") == 0;
-    typed |= g_ascii_strcasecmp(name.c_str(), "Content-Type") == 0;
-    // A header without a value is written with a semicolon.
+    has_accept |= g_ascii_strcasecmp(name.c_str(), "Accept") == 0;
+    has_content_type |= g_ascii_strcasecmp(name.c_str(), "Content-Type") == 0;
+    // libcurl sends a header with an empty value if it ends in a semicolon.
     const std::string line = value.empty() ? name + ";" : name + ": " + value;
     list = curl_slist_append(list, line.c_str());
   }
@@ -229,8 +230,8 @@
     const std::string line = "Content-Type: " + call.content_type;
     list = curl_slist_append(list, line.c_str());
   }
-  if (!accepts) list = curl_slist_append(list, "Accept:");
-  if (!typed) list = curl_slist_append(list, "Content-Type:");
+  if (!has_accept) list = curl_slist_append(list, "Accept:");
+  if (!has_content_type) list = curl_slist_append(list, "Content-Type:");
   list = curl_slist_append(list, "Expect:");
   pending->request_headers.reset(list);
   curl_easy_setopt(easy, CURLOPT_HTTPHEADER, list);
@@ -240,7 +241,7 @@
                                            void* user) -> std::size_t {
     auto* self = static_cast<Pending*>(user);
     const std::string_view line(data, size * count);
-    // What follows the body are trailers.
+    // Header lines after the body are trailers.
     if (self->headers_complete) return line.size();
     if (line.substr(0, 5) == "HTTP/") {
       self->headers = NewHeaders();
@@ -294,14 +295,14 @@
   }
 }
 
-// Each call of the sink may cancel this call or any other.
+// Any callback of the sink may cancel this call or others.
 void HttpClient::DeliverOne(CallId id) {
   auto found = pending_.find(id);
   if (found == pending_.end()) return;
   Pending* pending = found->second.get();
   if (pending->headers_complete && !pending->headers_delivered) {
     pending->headers_delivered = true;
-    // Kept while the sink reads them, also if it cancels the call.
+    // Keeps the headers alive if the sink cancels the call.
     const SoupHeadersPtr headers(
         soup_message_headers_ref(pending->headers.get()));
     pending->sink->OnHeaders(pending->status, headers.get());
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -12,8 +12,7 @@
 namespace cassiausher {
 namespace {
 
-// Bytes of a request's headers, counted as sent: name, colon, space, value and
-// line end.
+// Size of a request's headers as sent: name, colon, space, value and CRLF.
 std::int64_t HeaderBytes(SoupMessageHeaders* headers) {
   std::int64_t bytes = 0;
   soup_message_headers_foreach(
@@ -54,7 +53,7 @@
   return g_socket_new_from_fd(descriptor, error);
 }
 
-// Key under which a message keeps the count of its body bytes.
+// GObject data key for the number of body bytes received for a message.
 constexpr const char* kBodyBytesKey = "cassiausher-body-bytes";
 
 }  // namespace
@@ -100,7 +99,7 @@
 std::string_view HttpExchange::body() const {
   SoupMessageBody* body = soup_server_message_get_request_body(message_.get());
   if (body->data == nullptr) {
-    // Flatten leaves a terminated copy in body->data.
+    // Flattening stores a null-terminated copy in body->data.
     const GBytesPtr flat(soup_message_body_flatten(body));
   }
   return {body->data, static_cast<std::size_t>(body->length)};
@@ -138,7 +137,7 @@
 void HttpExchange::OnCallerClosed() {
   if (finished_) return;
   Finish();
-  // Let libsoup go on: it meets the closed socket and drops the connection.
+  // Lets libsoup notice the closed socket and drop the connection.
   soup_server_message_unpause(message_.get());
   const std::function<void()> on_closed = std::move(on_closed_);
   if (on_closed) on_closed();
@@ -172,7 +171,8 @@
   SetHeaders(headers);
   soup_server_message_set_status(message_.get(), static_cast<guint>(status),
                                  nullptr);
-  // Without a type it is among the headers. libsoup wants a type for a body.
+  // soup_server_message_set_response() requires a type for a body. If
+  // `content_type` is empty, `headers` may contain one.
   if (content_type.empty()) {
     soup_message_body_append(
         soup_server_message_get_response_body(message_.get()), SOUP_MEMORY_COPY,
@@ -236,7 +236,7 @@
   GSocket* socket = soup_server_message_get_socket(message_.get());
   Finish();
   if (socket != nullptr) g_socket_shutdown(socket, TRUE, TRUE, nullptr);
-  // libsoup meets the closed socket and drops the connection.
+  // libsoup notices the closed socket and drops the connection.
   soup_server_message_unpause(message_.get());
 }
 
@@ -282,11 +282,11 @@
   const GObjectPtr<GSocketAddress> address(
       g_inet_socket_address_new_from_string(options_.address.c_str(),
                                             options_.port));
-  if (!address) return options_.address + " is no IP number";
+  if (!address) return options_.address + " is not an IP address";
   const GObjectPtr<GSocket> socket(
       BindSocket(address.get(), options_.share_port, &error));
   if (!socket) return describe("bind");
-  // Bursts of connections overflow GLib's default backlog of 10.
+  // Connection bursts overflow GLib's default backlog of 10.
   g_socket_set_listen_backlog(socket.get(), 4096);
   if (!g_socket_listen(socket.get(), &error)) return describe("listen");
   const GObjectPtr<GSocketAddress> local(
@@ -316,8 +316,8 @@
                                   gpointer self) {
   g_signal_connect(message, "got-headers", G_CALLBACK(&OnGotHeaders), self);
   g_signal_connect(message, "got-chunk", G_CALLBACK(&OnGotChunk), self);
-  // Small streamed chunks must not wait for the previous one's
-  // acknowledgement.
+  // Disables Nagle's algorithm: small streamed chunks must not wait for the
+  // acknowledgement of the previous one.
   GSocket* socket = soup_server_message_get_socket(message);
   if (socket != nullptr) {
     g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -353,7 +353,7 @@
   if (soup_server_message_get_status(message) == 0) {
     self->RefuseEarly(message, 413, "the body is too large");
   }
-  // Bytes past the limit are dropped as they arrive.
+  // Discards bytes beyond the limit as they arrive.
   soup_message_body_truncate(soup_server_message_get_request_body(message));
 }
 
--- a/drivers/peer_transport.cc
+++ b/drivers/peer_transport.cc
@@ -13,17 +13,17 @@
 namespace {
 
 constexpr int kReconnectMs = 50;
-constexpr int kReconnectMaxMs = 300;
-// While a partition drops packets the kernel doubles the pauses between opening
-// packets; a connection attempt that started then would outlast the partition.
+constexpr int kMaxReconnectMs = 300;
+// While a partition drops packets, the kernel doubles the interval between SYN
+// retransmissions; an attempt begun then would outlast the partition.
 constexpr int kConnectTimeoutMs = 700;
 constexpr int kHandshakeTimeoutMs = 1000;
-constexpr int kQueueMessages = 20000;
-// Messages handled before the loop serves other sources.
-constexpr int kDrainBatch = 256;
+constexpr int kMaxQueuedMessages = 20000;
+// Maximum messages handled before the main loop serves other sources.
+constexpr int kMaxReceiveBatch = 256;
 
 // GLib source that is ready when a ZeroMQ socket has input. The socket's
-// descriptor is edge-triggered, so readiness is asked of the socket itself.
+// descriptor is edge-triggered, so readiness is read from ZMQ_EVENTS.
 struct ZmqSource {
   GSource base;
   void* socket;
@@ -83,8 +83,8 @@
   socket.set(zmq::sockopt::connect_timeout, kConnectTimeoutMs);
   socket.set(zmq::sockopt::handshake_ivl, kHandshakeTimeoutMs);
   socket.set(zmq::sockopt::tcp_maxrt, options.heartbeat_timeout_ms);
-  socket.set(zmq::sockopt::sndhwm, kQueueMessages);
-  socket.set(zmq::sockopt::rcvhwm, kQueueMessages);
+  socket.set(zmq::sockopt::sndhwm, kMaxQueuedMessages);
+  socket.set(zmq::sockopt::rcvhwm, kMaxQueuedMessages);
 }
 
 }  // namespace
@@ -167,11 +167,11 @@
       .public_key = public_key,
       .socket = zmq::socket_t(sockets_->context, zmq::socket_type::dealer)};
   SetCommonOptions(options_, entry.socket);
-  // A message for a peer that isn't connected is dropped, not kept: by the
-  // time the peer is back it would be stale.
+  // Messages to a disconnected peer are dropped, not queued: they would be
+  // stale when it reconnects.
   entry.socket.set(zmq::sockopt::immediate, true);
   entry.socket.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
-  entry.socket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaxMs);
+  entry.socket.set(zmq::sockopt::reconnect_ivl_max, kMaxReconnectMs);
   if (!options_.keys.secret_key.empty()) {
     entry.socket.set(zmq::sockopt::curve_serverkey, public_key);
     entry.socket.set(zmq::sockopt::curve_publickey, options_.keys.public_key);
@@ -210,12 +210,13 @@
 }
 
 void PeerTransport::ReceiveMessages() {
-  for (int i = 0; i < kDrainBatch; ++i) {
-    zmq::message_t route;
-    if (!sockets_->inbox.recv(route, zmq::recv_flags::dontwait)) return;
-    // A message is the route and one frame; more frames are malformed.
+  for (int i = 0; i < kMaxReceiveBatch; ++i) {
+    zmq::message_t routing_id;
+    if (!sockets_->inbox.recv(routing_id, zmq::recv_flags::dontwait)) return;
+    // A message has a routing id and one body frame; any other is malformed.
     zmq::message_t body;
-    bool well_formed = route.more() && sockets_->inbox.recv(body).has_value();
+    bool well_formed =
+        routing_id.more() && sockets_->inbox.recv(body).has_value();
     while (body.more()) {
       well_formed = false;
       if (!sockets_->inbox.recv(body)) break;
--- a/drivers/task.cc
+++ b/drivers/task.cc
@@ -20,7 +20,7 @@
 void Task::Start() {
   std::promise<void> started;
   thread_ = std::thread([this, &started] {
-    // The kernel keeps 15 characters of a thread's name.
+    // Linux limits thread names to 15 characters.
     pthread_setname_np(pthread_self(), name_.substr(0, 15).c_str());
     g_main_context_push_thread_default(context_);
     OnStart();
--- a/tests/drivers/http_client_test.cc
+++ b/tests/drivers/http_client_test.cc
@@ -1,5 +1,5 @@
-// Guards the HTTP client against endpoints that break off: half an answer must
-// never look complete, and no call is sent twice.
+// Guards against endpoints that fail in the middle of a response: a truncated
+// response must never look complete, and no call may be sent twice.
 #include "drivers/http_client.h"
 
 #include <CppUTest/TestHarness.h>
@@ -31,11 +31,11 @@
   bool sent = false;
 };
 
-// Answers each connection with the same bytes and closes it.
+// Sends the same bytes on each connection and closes it.
 class CannedServer {
  public:
-  explicit CannedServer(std::string answer)
-      : answer_(std::move(answer)), listener_(g_socket_listener_new()) {
+  explicit CannedServer(std::string response)
+      : response_(std::move(response)), listener_(g_socket_listener_new()) {
     port_ =
         g_socket_listener_add_any_inet_port(listener_.get(), nullptr, nullptr);
     thread_ = std::thread([this] { Serve(); });
@@ -70,12 +70,12 @@
       }
       GOutputStream* output =
           g_io_stream_get_output_stream(G_IO_STREAM(connection.get()));
-      g_output_stream_write_all(output, answer_.data(), answer_.size(), nullptr,
-                                stop_.get(), nullptr);
+      g_output_stream_write_all(output, response_.data(), response_.size(),
+                                nullptr, stop_.get(), nullptr);
     }
   }
 
-  std::string answer_;
+  std::string response_;
   GObjectPtr<GSocketListener> listener_;
   GObjectPtr<GCancellable> stop_{g_cancellable_new()};
   guint16 port_ = 0;
@@ -109,8 +109,8 @@
   }
 };
 
-// An endpoint that dies between two chunks of its answer.
-TEST(HttpClient, AChunkedBodyCutBetweenChunksIsNotWhole) {
+// An endpoint that fails between two chunks of its response.
+TEST(HttpClient, ChunkedBodyTruncatedBetweenChunksIsAnError) {
   CannedServer server(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5\r\nhello\r\n");
@@ -120,20 +120,20 @@
   CHECK_TRUE(sink.sent);
 }
 
-TEST(HttpClient, ABodyShorterThanItsLengthIsNotWhole) {
+TEST(HttpClient, BodyShorterThanContentLengthIsAnError) {
   CannedServer server("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello");
   Call(server.url());
   CHECK_FALSE(sink.error.empty());
 }
 
-TEST(HttpClient, ABodyWithoutLengthEndsWithItsConnection) {
+TEST(HttpClient, BodyWithoutLengthIsCompleteWhenConnectionCloses) {
   CannedServer server("HTTP/1.1 200 OK\r\n\r\nhello");
   Call(server.url());
   STRCMP_EQUAL("hello", sink.body.c_str());
   STRCMP_EQUAL("", sink.error.c_str());
 }
 
-TEST(HttpClient, WhatFollowsAnAnswerBelongsToNoCall) {
+TEST(HttpClient, BytesAfterACompleteResponseAreIgnored) {
   CannedServer server(
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\n\r\n");
   Call(server.url());
@@ -141,15 +141,15 @@
   STRCMP_EQUAL("ok", sink.body.c_str());
 }
 
-TEST(HttpClient, BytesThatAreNoAnswerAreAnError) {
+TEST(HttpClient, MalformedResponseIsAnError) {
   CannedServer server("\x01\x02 nonsense\r\n\r\n");
   Call(server.url());
   CHECK_FALSE(sink.error.empty());
   LONGS_EQUAL(0, sink.status);
 }
 
-// Sent again, it would count twice against the retry budget.
-TEST(HttpClient, AMisdirectedCallIsNotSentAgain) {
+// A resent call would count twice against the retry budget.
+TEST(HttpClient, CallAnswered421IsNotResent) {
   CannedServer server(
       "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
   Call(server.url());
@@ -157,13 +157,13 @@
   LONGS_EQUAL(1, server.connections());
 }
 
-TEST(HttpClient, TheTargetIsSentAsItIs) {
+TEST(HttpClient, RequestTargetIsNotNormalised) {
   CannedServer server("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   Call(server.url());
   STRCMP_EQUAL("GET /a/../b?q=%20 HTTP/1.1", server.request_line().c_str());
 }
 
-TEST(HttpClient, ARefusedConnectionWasNotSent) {
+TEST(HttpClient, CallWithRefusedConnectionIsReportedAsNotSent) {
   Call("http://127.0.0.1:1/");
   CHECK_FALSE(sink.error.empty());
   CHECK_FALSE(sink.sent);
--- a/tests/drivers/http_test.cc
+++ b/tests/drivers/http_test.cc
@@ -1,5 +1,5 @@
-// Guards the HTTP listener: limits on input, streams in order, and notice of a
-// caller that leaves.
+// Guards against oversized requests that reach the handler, reordered or
+// truncated streams, and callers whose disconnection goes unnoticed.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -65,7 +65,7 @@
   }
 };
 
-TEST(Http, AStreamArrivesInOrderAndWhole) {
+TEST(Http, StreamArrivesInOrderAndComplete) {
   HttpClient client;
   Sink sink;
   client.Start({.url = url, .body = "in"}, &sink);
@@ -80,7 +80,7 @@
   CHECK(sink.body.ends_with("98,99,"));
 }
 
-TEST(Http, ALargeBodyIsRefusedBeforeTheHandler) {
+TEST(Http, OversizedBodyIsRefusedWith413BeforeTheHandler) {
   HttpClient client;
   Sink sink;
   client.Start({.url = url, .body = std::string(5000, 'x')}, &sink);
@@ -89,7 +89,7 @@
   CHECK(held == nullptr);
 }
 
-TEST(Http, LargeHeadersAreRefusedBeforeTheHandler) {
+TEST(Http, OversizedHeadersAreRefusedWith431BeforeTheHandler) {
   HttpClient client;
   Sink sink;
   client.Start(
@@ -100,7 +100,7 @@
   CHECK(held == nullptr);
 }
 
-TEST(Http, ACallerThatLeavesIsNoticedWhileNothingIsWritten) {
+TEST(Http, CallerDisconnectIsDetectedWhileNothingIsWritten) {
   HttpClient client;
   Sink sink;
   const auto call = client.Start({.url = url, .body = "in"}, &sink);
@@ -112,7 +112,7 @@
   CHECK(held->finished());
 }
 
-TEST(Http, ACallWithoutAListenerIsReportedAsNotSent) {
+TEST(Http, CallToAClosedPortIsReportedAsNotSent) {
   HttpClient client;
   Sink sink;
   client.Start({.url = "http://127.0.0.1:1/", .body = ""}, &sink);
--- a/tests/drivers/peer_transport_test.cc
+++ b/tests/drivers/peer_transport_test.cc
@@ -1,5 +1,5 @@
-// Guards messages between instances: a peer with a wrong key is kept out, and a
-// peer that is away holds up nobody.
+// Guards against a peer that connects with an unlisted key, and against an
+// unreachable peer that blocks the sender or makes it queue messages.
 #include "drivers/peer_transport.h"
 
 #include <CppUTest/TestHarness.h>
@@ -49,7 +49,7 @@
   return true;
 }
 
-// Ports of this test; beside the usual ephemeral range.
+// First port of this test; outside the usual ephemeral range.
 constexpr int kFirstPort = 21870;
 
 }  // namespace
@@ -76,7 +76,7 @@
   STRCMP_EQUAL("hello", b.last.c_str());
 }
 
-TEST(PeerTransport, APeerWithAnUnlistedKeyIsCountedAndKeptOut) {
+TEST(PeerTransport, PeerWithUnlistedKeyIsRefusedAndCounted) {
   const CurveKeys a_keys = NewKeys();
   const CurveKeys stranger_keys = NewKeys();
   Node a(kFirstPort + 2, a_keys);
@@ -92,7 +92,7 @@
   LONGS_EQUAL(0, a.received);
 }
 
-TEST(PeerTransport, SendingToAPeerThatIsAwayNeitherBlocksNorKeepsMessages) {
+TEST(PeerTransport, SendingToAnUnreachablePeerDropsMessagesWithoutBlocking) {
   Node a(kFirstPort + 4, {});
   STRCMP_EQUAL("", a.transport.Listen(context).c_str());
   a.transport.SetPeer(InstanceId("gone"), "127.0.0.1:1", "");
