--- a/tests/platform/configuration_document_test.cc
+++ b/tests/platform/configuration_document_test.cc
@@ -1,5 +1,5 @@
-// Guards what is made of an operator's document: all of it is understood, or it
-// is refused with the place of each fault.
+// Guards against a configuration document that is applied in part: it is either
+// decoded completely or rejected with the location of each error.
 #include "platform/configuration_document.h"
 
 #include <CppUTest/TestHarness.h>
@@ -32,7 +32,7 @@
   Findings findings;
 };
 
-TEST(ConfigurationDocument, IsReadWhole) {
+TEST(ConfigurationDocument, ValidDocumentIsDecodedCompletely) {
   const auto configuration = codec.Decode(kDocument, &findings);
   CHECK_TRUE(configuration.has_value());
   LONGS_EQUAL(7, configuration->version.value());
@@ -52,7 +52,7 @@
   CHECK_TRUE(Validate(*configuration).empty());
 }
 
-TEST(ConfigurationDocument, EachPrefixOfADocumentIsRefused) {
+TEST(ConfigurationDocument, EveryTruncationIsRejected) {
   const std::string whole = kDocument;
   for (std::size_t size = 0; size < whole.size(); ++size) {
     Findings found;
@@ -61,24 +61,24 @@
   }
 }
 
-TEST(ConfigurationDocument, FieldsOfOtherTypesAreNamed) {
+TEST(ConfigurationDocument, FieldOfWrongTypeIsReportedWithItsLocation) {
   const std::string text =
       Replaced(kDocument, "\"timeout-ms\":14000", "\"timeout-ms\":\"14\"");
   CHECK_FALSE(codec.Decode(text, &findings).has_value());
   STRCMP_EQUAL("/routes/0/timeout-ms", findings.items().front().place.c_str());
-  for (const char* no_object : {"7", "[]", "null", "\"x\""}) {
+  for (const char* non_object : {"7", "[]", "null", "\"x\""}) {
     Findings found;
-    CHECK_FALSE(codec.Decode(no_object, &found).has_value());
+    CHECK_FALSE(codec.Decode(non_object, &found).has_value());
   }
 }
 
-TEST(ConfigurationDocument, AnUnknownKindIsRefused) {
+TEST(ConfigurationDocument, UnknownRouteKindIsRejected) {
   const std::string text =
       Replaced(kDocument, "\"kind\":\"stream\"", "\"kind\":\"maybe\"");
   CHECK_FALSE(codec.Decode(text, &findings).has_value());
 }
 
-TEST(ConfigurationDocument, WhatCantBeServedIsFound) {
+TEST(ConfigurationDocument, UnservableConfigurationFailsValidation) {
   for (const auto& [from, to] :
        {std::pair{"\"weight\":90},{\"service\":\"p\",\"weight\":10",
                   "\"weight\":0},{\"service\":\"p\",\"weight\":0"},
--- a/tests/platform/node_settings_test.cc
+++ b/tests/platform/node_settings_test.cc
@@ -1,5 +1,5 @@
-// Guards the settings of a node: what the platform's template fills in is read,
-// and every fault is named.
+// Guards against node settings from the platform's template that are ignored,
+// and against errors in them that aren't reported.
 #include "main/node_settings.h"
 
 #include <CppUTest/TestHarness.h>
@@ -17,7 +17,7 @@
 
 TEST_GROUP(NodeSettings) { Findings findings; };
 
-TEST(NodeSettings, AreReadWhole) {
+TEST(NodeSettings, ValidSettingsAreParsed) {
   const NodeSettings settings =
       ReadNodeSettings(kSettings, "node.json", &findings);
   CHECK_TRUE(findings.empty());
@@ -30,15 +30,15 @@
   DOUBLES_EQUAL(52, settings.retry_allowance, 0);
 }
 
-TEST(NodeSettings, EveryFaultIsNamed) {
+TEST(NodeSettings, EveryErrorIsReported) {
   ReadNodeSettings(R"({"instance":7,"address":"x","listen":{"callers":"y"},
                       "seeds":["z"],"surprise":1})",
                    "node.json", &findings);
-  // A wrong type, two missing keys, two addresses, an unknown key.
+  // A wrong type, two missing keys, two malformed addresses, an unknown key.
   CHECK_TRUE(findings.items().size() >= 6);
 }
 
-TEST(NodeSettings, WhatIsNoJsonIsSaid) {
+TEST(NodeSettings, InvalidJsonAndUnreadableFileAreReported) {
   ReadNodeSettings("instance: front", "node.json", &findings);
   CHECK_FALSE(findings.empty());
   Findings missing;
--- a/tests/platform/request_headers_test.cc
+++ b/tests/platform/request_headers_test.cc
@@ -1,6 +1,5 @@
-// Guards what endpoints get of a caller's request and what callers get of an
-// endpoint's answer: no header that only the system may set passes, and an
-// answer to another request is noticed.
+// Guards against callers' headers that only the system may set reaching an
+// endpoint, and against the response to another request reaching a caller.
 #include "platform/request_headers.h"
 
 #include <CppUTest/TestHarness.h>
@@ -45,7 +44,7 @@
     g_main_context_push_thread_default(context);
     server = std::make_unique<HttpServer>(
         HttpServerOptions{.address = "127.0.0.1"},
-        [this](HttpExchangePtr taken) { exchange = std::move(taken); },
+        [this](HttpExchangePtr received) { exchange = std::move(received); },
         [](int, std::string_view message) { return std::string(message); });
     STRCMP_EQUAL("", server->Listen(context).c_str());
     client = std::make_unique<HttpClient>();
@@ -74,7 +73,7 @@
   }
 };
 
-TEST(RequestHeaders, ACallersHeadersAreRead) {
+TEST(RequestHeaders, CallerHeadersAreParsed) {
   Receive({{"Host", "a.example:8080"},
            {"X-Request-Id", "r1"},
            {"X-Deadline-Ms", "1400"},
@@ -89,7 +88,7 @@
   LONGS_EQUAL(12, *headers.last_event_id);
 }
 
-TEST(RequestHeaders, MalformedHeadersSayNothing) {
+TEST(RequestHeaders, MalformedHeadersAreIgnored) {
   Receive({{"X-Deadline-Ms", "soon"}, {"X-Token-Counts", "-3,x"}});
   const CallerHeaders headers = ReadCallerHeaders(*exchange);
   CHECK_FALSE(headers.timeout.has_value());
@@ -97,7 +96,7 @@
   CHECK_FALSE(headers.last_event_id.has_value());
 }
 
-TEST(RequestHeaders, TheRequestPassesUnchanged) {
+TEST(RequestHeaders, RequestIsForwardedUnchanged) {
   Receive({{"X-Model", "m"}, {"X-Prompt-Prefix", "5c:800"}, {"Accept", "a"}});
   const HttpCall call = BuildCall(
       *exchange, {.endpoint = Endpoint(), .time_left = Milliseconds(900)});
@@ -111,8 +110,8 @@
   CHECK_TRUE(call.new_connection);
 }
 
-// A caller that sets them could take another caller's memory.
-TEST(RequestHeaders, SystemHeadersOfCallersAreTakenOut) {
+// With these headers a caller could take over another caller's KV cache.
+TEST(RequestHeaders, SystemAndHopByHopHeadersOfCallersAreRemoved) {
   Receive({{"X-Kv-Source", "10.0.0.1:80/h"},
            {"x-kv-hold", "h"},
            {"X-Pin-Ms", "4000"},
@@ -131,7 +130,7 @@
   STRCMP_EQUAL("i-1", ValueOf(call, "X-Expect-Instance").c_str());
 }
 
-TEST(RequestHeaders, AStreamGoesOnAfterAnEvent) {
+TEST(RequestHeaders, ResumedStreamSendsLastEventIdAndKvSource) {
   Receive({{"Last-Event-Id", "3"}});
   const HttpCall call =
       BuildCall(*exchange, {.endpoint = Endpoint(),
@@ -141,7 +140,7 @@
   STRCMP_EQUAL("10.0.0.1:80/h", ValueOf(call, "X-Kv-Source").c_str());
 }
 
-TEST(RequestHeaders, AnswersAreToldApart) {
+TEST(RequestHeaders, ResponsesOfWrongRequestOrEndpointAreDetected) {
   SoupMessageHeaders* headers =
       soup_message_headers_new(SOUP_MESSAGE_HEADERS_RESPONSE);
   soup_message_headers_append(headers, "X-Request-Id", "r2");
@@ -165,7 +164,7 @@
   soup_message_headers_unref(headers);
 }
 
-TEST(RequestHeaders, HandlesAreReadFromWholeAnswersOnly) {
+TEST(RequestHeaders, KvHandleIsReadFromValidBodiesOnly) {
   STRCMP_EQUAL("3f", ReadHandle(R"({"handle":"3f","tokens":1})")->c_str());
   CHECK_FALSE(ReadHandle(R"({"handle":7})").has_value());
   CHECK_FALSE(ReadHandle("{").has_value());
--- a/tests/platform/runner_calls_test.cc
+++ b/tests/platform/runner_calls_test.cc
@@ -1,5 +1,5 @@
-// Guards the registry against heartbeats that another writer sends, and keeps
-// what a proper one says.
+// Guards the registry against malformed heartbeats, and against values of valid
+// heartbeats that are lost.
 #include "platform/runner_calls.h"
 
 #include <CppUTest/TestHarness.h>
@@ -9,7 +9,7 @@
 namespace cassiausher {
 namespace {
 
-constexpr const char* kBeat =
+constexpr const char* kHeartbeatBody =
     R"({"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1",
     "slots":16,"state":"ready","cold-left-ms":0,"stage":"decode",
     "models":[{"name":"m","version":1,"adapters":[]}],"seq":4,
@@ -29,8 +29,8 @@
   }
 };
 
-TEST(RunnerCalls, AProperHeartbeatIsKept) {
-  const auto record = Read(kBeat);
+TEST(RunnerCalls, ValidHeartbeatIsParsed) {
+  const auto record = Read(kHeartbeatBody);
   CHECK_TRUE(record.has_value());
   STRCMP_EQUAL("i-1", record->id.value().c_str());
   STRCMP_EQUAL("10.0.0.9:80", record->address.c_str());
@@ -41,20 +41,21 @@
   CHECK_EQUAL(1788134613150u, record->incarnation.value());
 }
 
-TEST(RunnerCalls, APlainEndpointHasNoStage) {
-  const auto record = Read(Replaced(kBeat, "\"stage\":\"decode\",", ""));
+TEST(RunnerCalls, HeartbeatWithoutStageIsOfAPlainEndpoint) {
+  const auto record =
+      Read(Replaced(kHeartbeatBody, "\"stage\":\"decode\",", ""));
   CHECK_TRUE(record->role == EndpointRole::kPlain);
 }
 
-// Runners that don't tell their start take a new id at each one.
-TEST(RunnerCalls, AStartThatIsNotToldIsTheFirst) {
+// Runners that don't send their start time use a new id after each start.
+TEST(RunnerCalls, MissingStartTimeGivesIncarnationOne) {
   const auto record =
-      Read(Replaced(kBeat, ",\n    \"born\":1788134613150", ""));
+      Read(Replaced(kHeartbeatBody, ",\n    \"born\":1788134613150", ""));
   CHECK_TRUE(record.has_value());
   CHECK_EQUAL(1u, record->incarnation.value());
 }
 
-TEST(RunnerCalls, WhatAnotherWriterSendsNamesNoEndpoint) {
+TEST(RunnerCalls, MalformedHeartbeatIsRejected) {
   for (const auto& [from, to] :
        {std::pair{"\"service\":\"s\"", "\"service\":7"},
         std::pair{"\"service\":\"s\",", ""},
@@ -70,14 +71,14 @@
         std::pair{"1788134613150", "1788134613150.5"},
         std::pair{"1788134613150", "0"},
         std::pair{"1788134613150", "\"now\""}}) {
-    CHECK_FALSE(Read(Replaced(kBeat, from, to)).has_value());
+    CHECK_FALSE(Read(Replaced(kHeartbeatBody, from, to)).has_value());
   }
   for (const char* body : {"", "{", "[]", "null", "\xff\xfe", "{}"}) {
     CHECK_FALSE(Read(body).has_value());
   }
 }
 
-TEST(RunnerCalls, CallsAreToldByMethodAndPath) {
+TEST(RunnerCalls, CallsAreClassifiedByMethodAndPath) {
   CHECK_TRUE(ReadControlCall("PUT", "/api/instances/i-1").kind ==
              ControlCallKind::kHeartbeat);
   CHECK_TRUE(ReadControlCall("DELETE", "/api/instances/i-1").kind ==
