--- a/main/active_request.cc
+++ b/main/active_request.cc
@@ -82,7 +82,7 @@
       plain_(plain),
       claimed_(claimed),
       exchange_(std::move(exchange)),
-      started_(now),
+      started_at_(now),
       flow_(ToRouteRequest(request_, context.settings.instance, now), {}, now) {
 }
 
@@ -111,17 +111,18 @@
   const bool wanted = !flow_.done() && !flow_.placed() &&
                       granted.attempt == flow_.request().attempt;
   if (wanted) {
-    place_ = granted;
-    last_offer_ = now;
+    placement_ = granted;
+    last_offer_at_ = now;
     flow_.OnGrant(granted.grant, now);
     Apply(now);
     return;
   }
   // A repeated grant of the present place is harmless; any other place must
   // be given back.
-  const bool present = flow_.placed() &&
-                       granted.pool.data_centre == place_.pool.data_centre &&
-                       granted.attempt == place_.attempt;
+  const bool present =
+      flow_.placed() &&
+      granted.pool.data_centre == placement_.pool.data_centre &&
+      granted.attempt == placement_.attempt;
   if (present) return;
   context_.to_control(PlacementProgress{
       request_.id, granted.pool, {FlowProgress::kCancelled, {}, {}}});
@@ -143,17 +144,17 @@
     Apply(now);
     return;
   }
-  if (pool.data_centre != place_.pool.data_centre) return;
-  place_.pool = pool;
+  if (pool.data_centre != placement_.pool.data_centre) return;
+  placement_.pool = pool;
   context_.to_control(RequestOffered{flow_.ToAdopted(), pool});
 }
 
 void ActiveRequest::Tick(Time now) {
   // The offer tells a new pool owner, and one that missed a message, that
   // somebody waits for what the endpoint holds.
-  if (flow_.placed() && now - last_offer_ >= kOfferPeriod) {
-    last_offer_ = now;
-    context_.to_control(RequestOffered{flow_.ToAdopted(), place_.pool});
+  if (flow_.placed() && now - last_offer_at_ >= kOfferPeriod) {
+    last_offer_at_ = now;
+    context_.to_control(RequestOffered{flow_.ToAdopted(), placement_.pool});
   }
   if (now < flow_.deadline()) return;
   flow_.Tick(now);
@@ -171,12 +172,13 @@
               : flow_.delivered() == 0 ? RequestStage::kPrefill
                                        : RequestStage::kDecode;
   if (flow_.placed()) {
-    row.prefill = place_.grant.prefill;
-    row.decode = place_.grant.decode;
+    row.prefill = placement_.grant.prefill;
+    row.decode = placement_.grant.decode;
   }
-  row.age = now - started_;
+  row.age = now - started_at_;
   // The control task takes the class's target off.
-  row.late = first_chunk_ == Time{} ? row.age : first_chunk_ - started_;
+  row.late =
+      first_chunk_at_ == Time{} ? row.age : first_chunk_at_ - started_at_;
   return row;
 }
 
@@ -185,16 +187,16 @@
     const std::vector<FlowOutput> outputs = flow_.TakeOutputs();
     if (outputs.empty()) break;
     for (const FlowOutput& output : outputs) {
-      std::visit([&](const auto& value) { Do(value, now); }, output);
+      std::visit([&](const auto& value) { Execute(value, now); }, output);
     }
   }
   Flush();
 }
 
 void ActiveRequest::Flush() {
-  if (unwritten_.empty()) return;
-  exchange_->Write(unwritten_);
-  unwritten_.clear();
+  if (unwritten_events_.empty()) return;
+  exchange_->Write(unwritten_events_);
+  unwritten_events_.clear();
   if (exchange_->unsent_bytes() <= context_.settings.limits.unsent_bytes) {
     return;
   }
@@ -204,17 +206,18 @@
   OnCallerGone();
 }
 
-void ActiveRequest::Do(const RequestPlacement& output, Time) {
+void ActiveRequest::Execute(const RequestPlacement& output, Time) {
   if (output.request.attempt > 0) context_.metrics.placed_again.Add();
-  context_.to_control(PlacementRequested{output.request, !asked_});
-  asked_ = true;
+  context_.to_control(
+      PlacementRequested{output.request, !placement_requested_});
+  placement_requested_ = true;
 }
 
-CallContext ActiveRequest::Context() const {
-  return {.pool = place_.pool.data_centre.value() + "/" +
-                  place_.pool.service.value(),
-          .epoch = place_.pool.epoch,
-          .priority = place_.grant.priority};
+CallContext ActiveRequest::MakeCallContext() const {
+  return {.pool = placement_.pool.data_centre.value() + "/" +
+                  placement_.pool.service.value(),
+          .epoch = placement_.pool.epoch,
+          .priority = placement_.grant.priority};
 }
 
 void ActiveRequest::StartCall(FlowCallId id, const EndpointCall& call,
@@ -232,14 +235,15 @@
                                   open.sink.get());
 }
 
-void ActiveRequest::Do(const StartPrefill& output, Time) {
-  StartCall(output.call,
-            context_.driver.BuildPrefill(request_, Context(), output.url),
-            flow_.request().attempt > 0,
-            std::make_unique<PrefillSink>(*this, output.call));
+void ActiveRequest::Execute(const StartPrefill& output, Time) {
+  StartCall(
+      output.call,
+      context_.driver.BuildPrefill(request_, MakeCallContext(), output.url),
+      flow_.request().attempt > 0,
+      std::make_unique<PrefillSink>(*this, output.call));
 }
 
-EndpointCall ActiveRequest::BuildPlain(const std::string& url) const {
+EndpointCall ActiveRequest::BuildPlainCall(const std::string& url) const {
   EndpointCall call;
   call.method = request_.method;
   call.url = url + request_.path;
@@ -252,7 +256,7 @@
   return call;
 }
 
-void ActiveRequest::Do(const StartDecode& output, Time) {
+void ActiveRequest::Execute(const StartDecode& output, Time) {
   // A connection used before may be silent, or closed by the far end at the
   // moment of the call, which would leave the outcome unknown.
   const bool new_connection =
@@ -262,16 +266,16 @@
       flow_.OnDecodeFailed(output.call, CallOutcome::kNotFound, MonotonicNow());
       return;
     }
-    StartCall(output.call, BuildPlain(output.url), new_connection,
+    StartCall(output.call, BuildPlainCall(output.url), new_connection,
               std::make_unique<PlainSink>(*this, output.call));
     return;
   }
   if (output.resume) context_.metrics.resumes.Add();
   const EndpointCall call =
-      output.resume ? context_.driver.BuildResume(request_, Context(),
+      output.resume ? context_.driver.BuildResume(request_, MakeCallContext(),
                                                   output.url, flow_.delivered())
                     : context_.driver.BuildDecode(
-                          request_, Context(), output.url,
+                          request_, MakeCallContext(), output.url,
                           output.transfer_parameters, text_, flow_.delivered());
   StartCall(
       output.call, call, new_connection,
@@ -279,34 +283,34 @@
           *this, output.call, context_.driver.NewChunkParser(request_.chat)));
 }
 
-void ActiveRequest::Do(const StopCall& output, Time) {
+void ActiveRequest::Execute(const StopCall& output, Time) {
   const auto found = calls_.find(output.call);
   if (found == calls_.end()) return;
   context_.http.Cancel(found->second.http);
 }
 
-void ActiveRequest::Do(const CancelAtEndpoint& output, Time now) {
+void ActiveRequest::Execute(const CancelAtEndpoint& output, Time now) {
   if (plain_) return;
-  context_.cancels->Add(request_.id, output.endpoint, output.url, place_.pool,
-                        now);
+  context_.cancels->Add(request_.id, output.endpoint, output.url,
+                        placement_.pool, now);
 }
 
-void ActiveRequest::Do(const DeliverChunk& output, Time now) {
+void ActiveRequest::Execute(const DeliverChunk& output, Time now) {
   context_.metrics.chunks.Add();
-  if (last_chunk_ == Time{}) {
-    first_chunk_ = now;
-    context_.metrics.first_token.Record(now - started_);
+  if (last_chunk_at_ == Time{}) {
+    first_chunk_at_ = now;
+    context_.metrics.first_token.Record(now - started_at_);
   } else {
-    context_.metrics.between_tokens.Record(now - last_chunk_);
+    context_.metrics.between_tokens.Record(now - last_chunk_at_);
   }
-  last_chunk_ = now;
+  last_chunk_at_ = now;
   text_ += output.chunk.text;
   if (plain_ || !request_.stream) return;
   if (!exchange_->streaming()) {
     exchange_->StartStream(kStatusOk, "text/event-stream",
                            {{"X-Request-Id", request_.id.value()}});
   }
-  unwritten_ += context_.driver.FormatChunk(request_, output.chunk);
+  unwritten_events_ += context_.driver.FormatChunk(request_, output.chunk);
 }
 
 void ActiveRequest::RecordOutcome(RecordState state, RecordedAnswer answer) {
@@ -322,7 +326,7 @@
   context_.to_control(RequestEnded{request_.account, admitted_});
 }
 
-void ActiveRequest::Do(const CompleteAnswer& output, Time) {
+void ActiveRequest::Execute(const CompleteAnswer& output, Time) {
   context_.metrics.answered.Add();
   End();
   const HttpHeaders headers = {{"X-Request-Id", request_.id.value()}};
@@ -342,9 +346,9 @@
              request_, text_, output.finish_reason, output.output_tokens)});
   }
   if (request_.stream) {
-    unwritten_ += context_.driver.FormatStreamEnd();
-    exchange_->Write(unwritten_);
-    unwritten_.clear();
+    unwritten_events_ += context_.driver.FormatStreamEnd();
+    exchange_->Write(unwritten_events_);
+    unwritten_events_.clear();
     exchange_->EndStream();
     return;
   }
@@ -355,7 +359,7 @@
       headers);
 }
 
-void ActiveRequest::Do(const FailAnswer& output, Time) {
+void ActiveRequest::Execute(const FailAnswer& output, Time) {
   const bool unknown = output.kind == FailureKind::kOutcomeUnknown;
   Counter& counter = unknown          ? context_.metrics.unknown_outcome
                      : output.not_run ? context_.metrics.refused
@@ -371,15 +375,16 @@
   }
   // The status line is sent; the error travels as an event, and the missing
   // "[DONE]" shows that the answer isn't whole.
-  unwritten_ += fmt::format("event: error\ndata: {}\n\n", FormatError(error));
-  exchange_->Write(unwritten_);
-  unwritten_.clear();
+  unwritten_events_ +=
+      fmt::format("event: error\ndata: {}\n\n", FormatError(error));
+  exchange_->Write(unwritten_events_);
+  unwritten_events_.clear();
   exchange_->EndStream();
 }
 
-void ActiveRequest::Do(const ReportProgress& output, Time) {
+void ActiveRequest::Execute(const ReportProgress& output, Time) {
   // Without a place only the pool that was asked knows the request.
-  PoolAddress pool = place_.pool;
+  PoolAddress pool = placement_.pool;
   pool.service = request_.service;
   context_.to_control(PlacementProgress{request_.id, pool, output});
 }
--- a/main/active_request.h
+++ b/main/active_request.h
@@ -19,8 +19,8 @@
 
 class ActiveRequest {
  public:
-  /// `plain`: a call to a plain service, passed on as it is. `claimed`: the
-  /// ledger holds a claim for it, and must learn how it ends.
+  /// `plain`: a call to a plain service, forwarded unchanged. `claimed`: the
+  /// ledger holds a claim for the request, so the outcome must be reported.
   ActiveRequest(ServingContext& context, CallerRequest request, bool plain,
                 bool claimed, HttpExchangePtr exchange, Time now);
   ~ActiveRequest();
@@ -34,7 +34,7 @@
   bool done() const { return flow_.done(); }
   RequestRow Row(Time now) const;
 
-  // Called by the sinks of its calls.
+  // Called by the sinks of this request's calls.
   void OnPrefillAnswer(FlowCallId call, int status, const std::string& body,
                        std::string_view error, bool sent);
   void OnChunks(FlowCallId call, std::vector<StreamChunk> chunks);
@@ -44,24 +44,24 @@
 
  private:
   void OnCallerGone();
-  /// Carries out what the flow has decided.
+  /// Executes the pending outputs of the flow, then writes the events.
   void Apply(Time now);
-  void Do(const RequestPlacement& output, Time now);
-  void Do(const StartPrefill& output, Time now);
-  void Do(const StartDecode& output, Time now);
-  void Do(const StopCall& output, Time now);
-  void Do(const CancelAtEndpoint& output, Time now);
-  void Do(const DeliverChunk& output, Time now);
-  void Do(const CompleteAnswer& output, Time now);
-  void Do(const FailAnswer& output, Time now);
-  void Do(const ReportProgress& output, Time now);
+  void Execute(const RequestPlacement& output, Time now);
+  void Execute(const StartPrefill& output, Time now);
+  void Execute(const StartDecode& output, Time now);
+  void Execute(const StopCall& output, Time now);
+  void Execute(const CancelAtEndpoint& output, Time now);
+  void Execute(const DeliverChunk& output, Time now);
+  void Execute(const CompleteAnswer& output, Time now);
+  void Execute(const FailAnswer& output, Time now);
+  void Execute(const ReportProgress& output, Time now);
 
   void StartCall(FlowCallId id, const EndpointCall& call, bool new_connection,
                  std::unique_ptr<CallSink> sink);
-  EndpointCall BuildPlain(const std::string& url) const;
-  CallContext Context() const;
+  EndpointCall BuildPlainCall(const std::string& url) const;
+  CallContext MakeCallContext() const;
   void Flush();
-  /// Once, when the caller has its answer or is gone.
+  /// Called once, when the caller has its answer or has disconnected.
   void End();
   void RecordOutcome(RecordState state, RecordedAnswer answer);
 
@@ -69,27 +69,28 @@
   CallerRequest request_;
   bool plain_;
   bool claimed_;
-  bool asked_ = false;
+  bool placement_requested_ = false;
   bool admitted_ = true;
   HttpExchangePtr exchange_;
-  Time started_;
-  Time first_chunk_{};
-  Time last_chunk_{};
-  Time last_offer_{};
+  Time started_at_;
+  Time first_chunk_at_{};
+  Time last_chunk_at_{};
+  Time last_offer_at_{};
   RequestFlow flow_;
-  PlacementGranted place_;
+  PlacementGranted placement_;
   struct OpenCall {
     HttpClient::CallId http = 0;
     std::unique_ptr<CallSink> sink;
   };
-  /// Kept until the request ends, so that a sink may outlive its own callback.
+  /// Entries stay until the request is destroyed, so that a sink isn't
+  /// destroyed inside its own callback.
   std::unordered_map<FlowCallId, OpenCall> calls_;
-  /// Text for a caller without a stream; for a plain service its answer.
+  /// Text generated so far; for a plain service the body of its answer.
   std::string text_;
   int plain_status_ = 0;
   std::string plain_content_type_;
-  /// Events of this round, written together.
-  std::string unwritten_;
+  /// Events collected during Apply(), written to the caller in one piece.
+  std::string unwritten_events_;
 };
 
 }  // namespace cassiausher
--- a/main/announcement.h
+++ b/main/announcement.h
@@ -1,4 +1,4 @@
-// Reads an endpoint's announcement; see docs/endpoint-protocol.md.
+// Parses an endpoint's announcement; see docs/endpoint-protocol.md.
 #ifndef MAIN_ANNOUNCEMENT_H_
 #define MAIN_ANNOUNCEMENT_H_
 
@@ -9,7 +9,8 @@
 
 namespace cassiausher {
 
-/// Every fault is a finding; the message is usable only without findings.
+/// Each error is added to `findings`; the message is valid only if none was
+/// added.
 proto::Announcement ParseAnnouncement(std::string_view body,
                                       Findings* findings);
 
--- a/main/call_sink.h
+++ b/main/call_sink.h
@@ -1,4 +1,4 @@
-// Receivers of the answers to one request's calls: prefill, decode stream and
+// HTTP sinks for the answers to one request's calls: prefill, decode stream and
 // plain call.
 #ifndef MAIN_CALL_SINK_H_
 #define MAIN_CALL_SINK_H_
@@ -61,7 +61,8 @@
   std::string body_;
 };
 
-/// How a call that brought no answer ended.
+/// Outcome of a call that brought no usable answer. `sent`: whether the request
+/// was sent.
 CallOutcome OutcomeOf(int status, bool sent);
 
 }  // namespace cassiausher
--- a/main/cancel_queue.h
+++ b/main/cancel_queue.h
@@ -1,4 +1,5 @@
-// Cancels at endpoints, each repeated until the endpoint confirms it.
+// Cancels requests at endpoints. Each cancel is retried, with a growing delay,
+// until the endpoint confirms it or the attempts run out.
 #ifndef MAIN_CANCEL_QUEUE_H_
 #define MAIN_CANCEL_QUEUE_H_
 
@@ -19,7 +20,8 @@
 
   void Add(const RequestId& request, const EndpointId& endpoint,
            const std::string& url, const PoolAddress& pool, Time now);
-  /// Sends what is due. Call it every few milliseconds.
+  /// Sends cancels that are due and times out unanswered ones. Call it every
+  /// few milliseconds.
   void Tick(Time now);
   bool empty() const { return jobs_.empty(); }
 
--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -71,7 +71,9 @@
   callers_ = std::make_unique<HttpServer>(
       HttpServerOptions{.address = settings_.callers->ip,
                         .port = settings_.callers->port},
-      [this](HttpExchangePtr exchange) { OnCaller(std::move(exchange)); },
+      [this](HttpExchangePtr exchange) {
+        OnCallerRequest(std::move(exchange));
+      },
       limit);
   if (auto error = callers_->Listen(context_); !error.empty()) return error;
   readiness_ = std::make_unique<HttpServer>(
@@ -88,7 +90,7 @@
   timer_ = AddTimer(context_, kTickPeriod, [this] { Tick(); });
   placement_timer_ =
       AddTimer(context_, kPlacementPeriod, [this] { SendPlacements(); });
-  FollowControls(BootTimeNow());
+  SendFollowMessages(BootTimeNow());
   return {};
 }
 
@@ -96,7 +98,7 @@
   settings_.seeds = settings.seeds;
   const Time now = BootTimeNow();
   for (const SocketAddress& seed : settings_.seeds) {
-    controls_[InstanceId(seed.ip)].learned_at = now;
+    controls_[InstanceId(seed.ip)].last_known_at = now;
   }
 }
 
@@ -112,7 +114,7 @@
   Log(LogLevel::kWarning, "request_refused",
       {{"request", id.value()}, {"reason", reason}});
   HttpHeaders headers = {RetryAfterHeader(kRefusalRetryAfter)};
-  if (closing_) headers.emplace_back("Connection", "close");
+  if (closing_connections_) headers.emplace_back("Connection", "close");
   exchange.Respond(503, kJson,
                    FormatError({.type = "unavailable",
                                 .code = "refused",
@@ -122,11 +124,11 @@
                    headers);
 }
 
-void EntryNode::OnCaller(HttpExchangePtr exchange) {
+void EntryNode::OnCallerRequest(HttpExchangePtr exchange) {
   received_.Add();
   const Time now = BootTimeNow();
   CallerHeaders caller = ReadCallerHeaders(*exchange);
-  if (closing_ && now - shutdown_started_ >= kLastRequests) {
+  if (closing_connections_ && now - shutdown_started_ >= kLastRequests) {
     Refuse(*exchange, caller.id, "the instance stops");
     return;
   }
@@ -178,7 +180,7 @@
                                   .answers = &answers_[service],
                                   .metrics = &metrics_,
                                   .context = context_,
-                                  .closing = &closing_};
+                                  .closing = &closing_connections_};
   auto request = std::make_shared<ForwardedRequest>(
       context, std::move(exchange), std::move(caller), std::move(facts), *route,
       routes_->version());
@@ -191,12 +193,12 @@
   });
 }
 
-std::uint32_t EntryNode::EntryInstances() const {
-  std::uint32_t most = kLeastEntryInstances;
+std::uint32_t EntryNode::EntryInstanceCount() const {
+  std::uint32_t count = kLeastEntryInstances;
   for (const auto& [instance, control] : controls_) {
-    most = std::max(most, control.entry_instances);
+    count = std::max(count, control.entry_instances);
   }
-  return most;
+  return count;
 }
 
 RetryBudget& EntryNode::BudgetOf(const ServiceId& service) {
@@ -205,7 +207,7 @@
     budget = std::make_unique<RetryBudget>(RetryBudgetOptions{
         .ratio = settings_.retry_ratio * kBudgetMargin,
         .floor_per_second = settings_.retry_allowance * kBudgetMargin /
-                            kBudgetWindowSeconds / EntryInstances()});
+                            kBudgetWindowSeconds / EntryInstanceCount()});
   }
   return *budget;
 }
@@ -230,8 +232,8 @@
 void EntryNode::OnUpdate(const InstanceId& from, const proto::Update& update) {
   const Time now = BootTimeNow();
   Control& control = controls_[from];
-  control.heard_at = now;
-  control.learned_at = now;
+  control.last_update_at = now;
+  control.last_known_at = now;
   control.registry_epoch = update.registry_epoch();
   control.registry_revision = update.registry_revision();
   control.entry_instances = update.entry_instances();
@@ -265,7 +267,7 @@
     pool_.SetOtherLoads(ReadLoads(update.loads()), std::max(0, others), now);
   }
   for (const std::string& ip : update.control_instances()) {
-    controls_[InstanceId(ip)].learned_at = now;
+    controls_[InstanceId(ip)].last_known_at = now;
   }
   if (update.has_configuration()) OnConfiguration(update.configuration());
 }
@@ -286,9 +288,9 @@
        {"routes", routes_->configuration().routes.size()}});
 }
 
-void EntryNode::FollowControls(Time now) {
+void EntryNode::SendFollowMessages(Time now) {
   std::erase_if(controls_, [&](const auto& item) {
-    if (now - item.second.learned_at < kControlLifetime) return false;
+    if (now - item.second.last_known_at < kControlLifetime) return false;
     link_.Forget(item.first);
     return true;
   });
@@ -296,11 +298,11 @@
   const EndpointLoads loads = pool_.OwnLoads();
   load_source_ = LoadSource();
   for (auto& [instance, control] : controls_) {
-    if (control.connected && now - control.heard_at >= kControlSilence) {
+    if (control.connected && now - control.last_update_at >= kControlSilence) {
       control.connected = false;
       Log(LogLevel::kWarning, "control_silent",
           {{"control", instance.value()},
-           {"silent_ms", ToMilliseconds(now - control.heard_at)}});
+           {"silent_ms", ToMilliseconds(now - control.last_update_at)}});
     }
     proto::NodeMessage message;
     proto::Follow* follow = message.mutable_follow();
@@ -345,9 +347,9 @@
 void EntryNode::Tick() {
   const Time now = BootTimeNow();
   for (const SocketAddress& seed : settings_.seeds) {
-    controls_[InstanceId(seed.ip)].learned_at = now;
+    controls_[InstanceId(seed.ip)].last_known_at = now;
   }
-  FollowControls(now);
+  SendFollowMessages(now);
   if (on_done_) AdvanceShutdown(now);
   if (now < next_expiry_) return;
   next_expiry_ = now + kExpiryPeriod;
@@ -359,7 +361,7 @@
 void EntryNode::Shutdown(std::function<void()> on_done) {
   if (on_done_) return;
   on_done_ = std::move(on_done);
-  closing_ = true;
+  closing_connections_ = true;
   shutdown_started_ = BootTimeNow();
 }
 
--- a/main/entry_node.h
+++ b/main/entry_node.h
@@ -1,5 +1,6 @@
-// An entry instance: takes callers' requests, forwards them to endpoints and
-// relays the answers, by what the control instances tell.
+// An entry instance: accepts callers' requests, forwards them to endpoints and
+// relays the answers, using the configuration, endpoint records and loads that
+// the control instances send.
 #ifndef MAIN_ENTRY_NODE_H_
 #define MAIN_ENTRY_NODE_H_
 
@@ -26,39 +27,43 @@
 
 namespace cassiausher {
 
-/// Runs on one task, whose context it is given.
+/// Runs on a single task, that of the given main context.
 class EntryNode {
  public:
   EntryNode(NodeSettings settings, const ConfigurationCodec& codec,
             Metrics& metrics, GMainContext* context);
   ~EntryNode();
 
-  /// Returns an error text, empty on success.
+  /// Returns an error message; empty on success.
   std::string Start();
-  /// Takes new seeds.
+  /// Applies the seed list of the new settings; nothing else is reloaded.
   void Reload(const NodeSettings& settings);
-  /// Takes no new callers, ends what is open, then calls `on_done`.
+  /// Stops accepting callers, waits for open requests until the grace period
+  /// nearly ends, then calls `on_done`.
   void Shutdown(std::function<void()> on_done);
 
  private:
-  /// A control instance and how much of its knowledge is held.
+  /// A control instance and the revision of its registry that was last
+  /// received.
   struct Control {
-    Time learned_at{};
-    Time heard_at{};
+    Time last_known_at{};
+    Time last_update_at{};
     std::uint64_t registry_epoch = 0;
     std::uint64_t registry_revision = 0;
-    /// Entry instances that follow it.
+    /// Number of entry instances that follow this control instance.
     std::uint32_t entry_instances = 1;
     bool connected = false;
   };
 
-  /// The control instance that tells of others' loads: one of those that are
-  /// heard, spread over the entry instances. Empty if none is heard.
+  /// The control instance from which other entry instances' loads are taken:
+  /// one of the connected ones, so chosen that entry instances are spread over
+  /// them. Empty if none is connected.
   InstanceId LoadSource() const;
-  /// Tells of work that was placed since.
+  /// Sends the work placed since the last call to all connected control
+  /// instances.
   void SendPlacements();
 
-  void OnCaller(HttpExchangePtr exchange);
+  void OnCallerRequest(HttpExchangePtr exchange);
   void Refuse(HttpExchange& exchange, const RequestId& id,
               std::string_view reason);
   RetryBudget& BudgetOf(const ServiceId& service);
@@ -67,10 +72,10 @@
   void OnMessage(const InstanceId& from, const proto::NodeMessage& message);
   void OnUpdate(const InstanceId& from, const proto::Update& update);
   void OnConfiguration(const proto::VersionedDocument& message);
-  void FollowControls(Time now);
+  void SendFollowMessages(Time now);
   void Tick();
   void AdvanceShutdown(Time now);
-  std::uint32_t EntryInstances() const;
+  std::uint32_t EntryInstanceCount() const;
 
   NodeSettings settings_;
   const ConfigurationCodec& codec_;
@@ -100,8 +105,8 @@
   /// Set by Shutdown().
   std::function<void()> on_done_;
   Time shutdown_started_{};
-  /// Answers end their connection.
-  bool closing_ = false;
+  /// Answers carry `Connection: close`.
+  bool closing_connections_ = false;
   bool listening_ = true;
 };
 
--- a/main/error_body.h
+++ b/main/error_body.h
@@ -1,4 +1,4 @@
-// The one form of every refusal and error that callers and operators see.
+// The common format of all refusals and errors sent to callers and operators.
 #ifndef MAIN_ERROR_BODY_H_
 #define MAIN_ERROR_BODY_H_
 
@@ -17,7 +17,7 @@
   std::string_view type;
   std::string_view code;
   std::string message;
-  /// A promise: the request was not executed and will not be.
+  /// Guarantees that the request was not executed and will not be.
   bool not_run = false;
   Duration retry_after{0};
 };
@@ -25,7 +25,8 @@
 /// `{"error":{"type","code","message","not_run","retry_after_ms"}}`.
 std::string FormatError(const ErrorAnswer& error);
 
-/// Answers with the body and, where it applies, Retry-After in whole seconds.
+/// Answers with the error body and, if `retry_after` is positive, Retry-After
+/// in whole seconds, rounded up.
 void RespondError(HttpExchange& exchange, const ErrorAnswer& error,
                   const std::string& request_id = {});
 
--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -97,16 +97,16 @@
   exchange_->WatchClose([weak] {
     if (const auto self = weak.lock()) self->OnCallerGone();
   });
-  Take(forwarder_.Start(BootTimeNow()));
+  Execute(forwarder_.Start(BootTimeNow()));
 }
 
-void ForwardedRequest::Take(ForwardStep step) {
+void ForwardedRequest::Execute(ForwardStep step) {
   if (const auto* call = std::get_if<StartCall>(&step)) {
-    Issue(*call);
+    BeginCall(*call);
     return;
   }
   if (const auto* wait = std::get_if<WaitForCapacity>(&step)) {
-    if (wait_until_ == Time{}) {
+    if (wait_deadline_ == Time{}) {
       Log(LogLevel::kInfo, "request_waits",
           {{"request", caller_.id.value()},
            {"occupancy", wait->occupancy},
@@ -115,7 +115,7 @@
            {"loads_age_ms",
             ToMilliseconds(context_.pool->LoadsAge(BootTimeNow()))}});
     }
-    wait_until_ = wait->until;
+    wait_deadline_ = wait->until;
     ArmTimer();
     return;
   }
@@ -123,13 +123,13 @@
     HttpHeaders headers = {RetryAfterHeader(refuse->retry_after)};
     exchange_->Respond(503, kJson,
                        RefusalBody(refuse->reason, refuse->retry_after),
-                       WithClosing(std::move(headers)));
+                       WithConnectionClose(std::move(headers)));
     End("refused", 503, refuse->reason);
     return;
   }
   if (const auto* fail = std::get_if<Fail>(&step)) {
     exchange_->Respond(fail->status, kJson, FailureBody(fail->reason),
-                       WithClosing({}));
+                       WithConnectionClose({}));
     End("failed", fail->status, fail->reason);
     return;
   }
@@ -137,14 +137,14 @@
   End("broken_off", 0, std::get<AbortStream>(step).reason);
 }
 
-void ForwardedRequest::Issue(const StartCall& call) {
+void ForwardedRequest::BeginCall(const StartCall& call) {
   const Time now = BootTimeNow();
   call_ = call;
   call_started_ = now;
-  connect_by_ = now + kConnectTimeout;
-  progress_by_.reset();
+  connect_deadline_ = now + kConnectTimeout;
+  progress_deadline_.reset();
   if (call.answer_timeout > Duration(0)) {
-    progress_by_ = now + call.answer_timeout;
+    progress_deadline_ = now + call.answer_timeout;
   }
   answer_.reset();
   body_.clear();
@@ -174,32 +174,32 @@
 void ForwardedRequest::OnHeaders(int status, SoupMessageHeaders* headers) {
   answer_ = ReadAnswer(status, headers, caller_.id, call_->endpoint.id);
   if (answer_->not_executed) {
-    CallFailed(answer_->other_endpoint ? CallFailure::kMisplaced
-                                       : CallFailure::kNotExecuted,
-               fmt::format("status {}, not executed", status));
+    FailCall(answer_->other_endpoint ? CallFailure::kMisplaced
+                                     : CallFailure::kNotExecuted,
+             fmt::format("status {}, not executed", status));
     return;
   }
   if (call_->kind == CallKind::kPrefill) {
-    if (status != kOk) CallFailed(CallFailure::kBroken, "prefill failed");
+    if (status != kOk) FailCall(CallFailure::kBroken, "prefill failed");
     return;
   }
   if (answer_->other_request) {
-    CallFailed(CallFailure::kBroken, "the answer is another request's");
+    FailCall(CallFailure::kBroken, "the answer is another request's");
     return;
   }
   const bool success = IsSuccess(status);
   if (success && !answer_->has_server_stamp) {
-    CallFailed(CallFailure::kBroken, "the answer has no signature");
+    FailCall(CallFailure::kBroken, "the answer has no signature");
     return;
   }
   const bool failed = status >= kServerError;
   if (failed && !exchange_->streaming() &&
       forwarder_.CanRetryServerError(BootTimeNow())) {
-    CallFailed(CallFailure::kServerError, fmt::format("status {}", status));
+    FailCall(CallFailure::kServerError, fmt::format("status {}", status));
     return;
   }
   if (!success && exchange_->streaming()) {
-    CallFailed(CallFailure::kBroken, fmt::format("status {}", status));
+    FailCall(CallFailure::kBroken, fmt::format("status {}", status));
   }
 }
 
@@ -209,7 +209,7 @@
   if (!relays_events) {
     body_.append(bytes);
     if (body_.size() > kMaxWholeBytes) {
-      CallFailed(CallFailure::kBroken, "the answer is too long");
+      FailCall(CallFailure::kBroken, "the answer is too long");
     }
     return;
   }
@@ -238,14 +238,15 @@
   }
   last_event_at_ = now;
   if (!exchange_->streaming()) {
-    exchange_->StartStream(answer_->status, "", WithClosing(answer_->headers));
+    exchange_->StartStream(answer_->status, "",
+                           WithConnectionClose(answer_->headers));
     forwarder_.OnRelayed();
   }
   exchange_->Write(events);
   if (call_->gap_timeout > Duration(0)) {
-    progress_by_ = now + call_->gap_timeout;
+    progress_deadline_ = now + call_->gap_timeout;
   } else {
-    progress_by_.reset();
+    progress_deadline_.reset();
   }
 }
 
@@ -253,51 +254,51 @@
   if (!error.empty() || !answer_.has_value()) {
     const CallFailure failure =
         sent ? CallFailure::kBroken : CallFailure::kNotSent;
-    CallFailed(failure, error);
+    FailCall(failure, error);
     return;
   }
   if (call_->kind == CallKind::kPrefill) {
-    OnPrefillAnswer();
+    OnPrefillComplete();
     return;
   }
-  OnAnswerWhole();
+  OnAnswerComplete();
 }
 
-void ForwardedRequest::OnPrefillAnswer() {
+void ForwardedRequest::OnPrefillComplete() {
   const auto handle = ReadHandle(body_);
   if (!handle.has_value()) {
-    CallFailed(CallFailure::kBroken, "no handle in the answer");
+    FailCall(CallFailure::kBroken, "no handle in the answer");
     return;
   }
   const std::string address = call_->endpoint.address;
-  DropCall(WorkOutcome::kDone);
-  Take(forwarder_.OnPrefillDone({address, *handle}, BootTimeNow()));
+  FinishCall(WorkOutcome::kDone);
+  Execute(forwarder_.OnPrefillDone({address, *handle}, BootTimeNow()));
 }
 
-void ForwardedRequest::OnAnswerWhole() {
+void ForwardedRequest::OnAnswerComplete() {
   if (!events_.incomplete_event().empty()) {
-    CallFailed(CallFailure::kBroken, "the stream ends inside an event");
+    FailCall(CallFailure::kBroken, "the stream ends inside an event");
     return;
   }
   const int status = answer_->status;
   const bool server_error = status >= kServerError;
-  DropCall(server_error ? WorkOutcome::kServerError : WorkOutcome::kDone);
+  FinishCall(server_error ? WorkOutcome::kServerError : WorkOutcome::kDone);
   if (exchange_->streaming()) {
     context_.answers->Observe(Tokens(relayed_events_ * facts_.tokens_per_event),
                               facts_.output);
     exchange_->EndStream();
   } else {
-    RespondWhole();
+    RespondBuffered();
   }
   End(server_error ? "endpoint_error" : "answered", status, "");
 }
 
-void ForwardedRequest::RespondWhole() {
-  exchange_->Respond(answer_->status, "", body_, WithClosing(answer_->headers));
+void ForwardedRequest::RespondBuffered() {
+  exchange_->Respond(answer_->status, "", body_,
+                     WithConnectionClose(answer_->headers));
 }
 
-void ForwardedRequest::CallFailed(CallFailure failure,
-                                  std::string_view reason) {
+void ForwardedRequest::FailCall(CallFailure failure, std::string_view reason) {
   if (!call_.has_value()) return;
   const std::string text(reason);
   Log(LogLevel::kWarning, "call_failed",
@@ -309,40 +310,40 @@
        {"after_ms", ToMilliseconds(BootTimeNow() - call_started_)}});
   switch (failure) {
     case CallFailure::kNotExecuted:
-      DropCall(WorkOutcome::kRejected);
+      FinishCall(WorkOutcome::kRejected);
       break;
     case CallFailure::kMisplaced:
-      DropCall(WorkOutcome::kMisplaced);
+      FinishCall(WorkOutcome::kMisplaced);
       break;
     case CallFailure::kNotSent:
-      DropCall(WorkOutcome::kUnreachable);
+      FinishCall(WorkOutcome::kUnreachable);
       break;
     case CallFailure::kServerError:
-      DropCall(WorkOutcome::kServerError);
+      FinishCall(WorkOutcome::kServerError);
       break;
     default:
-      DropCall(WorkOutcome::kBroken);
+      FinishCall(WorkOutcome::kBroken);
   }
   context_.metrics
       ->counter(
           fmt::format("call_failures_total{{failure=\"{}\"}}", Name(failure)))
       .Add();
-  Take(forwarder_.OnCallFailed(failure, BootTimeNow()));
+  Execute(forwarder_.OnCallFailed(failure, BootTimeNow()));
 }
 
-void ForwardedRequest::DropCall(WorkOutcome outcome) {
+void ForwardedRequest::FinishCall(WorkOutcome outcome) {
   const Time now = BootTimeNow();
   const Time done = first_event_at_.value_or(now);
   context_.client->Cancel(call_id_);
   context_.pool->OnFinish(call_->endpoint.id, call_->work, outcome,
                           std::max(Duration(0), done - call_started_), now);
   call_.reset();
-  progress_by_.reset();
+  progress_deadline_.reset();
 }
 
 void ForwardedRequest::OnCallerGone() {
   if (ended_) return;
-  if (call_.has_value()) DropCall(WorkOutcome::kAbandoned);
+  if (call_.has_value()) FinishCall(WorkOutcome::kAbandoned);
   End("caller_gone", 0, "");
 }
 
@@ -350,12 +351,12 @@
   const Time now = BootTimeNow();
   Time next = facts_.deadline;
   if (call_.has_value() && !context_.client->WasSent(call_id_)) {
-    next = std::min(next, connect_by_);
+    next = std::min(next, connect_deadline_);
   }
-  if (call_.has_value() && progress_by_.has_value()) {
-    next = std::min(next, *progress_by_);
+  if (call_.has_value() && progress_deadline_.has_value()) {
+    next = std::min(next, *progress_deadline_);
   }
-  if (!call_.has_value()) next = std::min(next, wait_until_);
+  if (!call_.has_value()) next = std::min(next, wait_deadline_);
   const Duration wait = std::max(Milliseconds(1), next - now);
   const std::weak_ptr<ForwardedRequest> weak = weak_from_this();
   timer_ = AddTimer(context_.context, wait + Milliseconds(1), [weak] {
@@ -369,33 +370,33 @@
   if (now >= facts_.deadline) {
     if (call_.has_value()) {
       const bool ran = context_.client->WasSent(call_id_);
-      DropCall(ran ? WorkOutcome::kBroken : WorkOutcome::kAbandoned);
+      FinishCall(ran ? WorkOutcome::kBroken : WorkOutcome::kAbandoned);
     }
-    Take(forwarder_.OnDeadline());
+    Execute(forwarder_.OnDeadline());
     return;
   }
   if (!call_.has_value()) {
-    if (now < wait_until_) return ArmTimer();
-    Take(forwarder_.OnWaitElapsed(now));
+    if (now < wait_deadline_) return ArmTimer();
+    Execute(forwarder_.OnWaitElapsed(now));
     return;
   }
   const bool sent = context_.client->WasSent(call_id_);
-  if (!sent && now >= connect_by_) {
-    CallFailed(CallFailure::kNotSent, "no connection");
+  if (!sent && now >= connect_deadline_) {
+    FailCall(CallFailure::kNotSent, "no connection");
     return;
   }
-  if (sent && progress_by_.has_value() && now >= *progress_by_) {
+  if (sent && progress_deadline_.has_value() && now >= *progress_deadline_) {
     if (!forwarder_.CanFailOver(now)) {
-      progress_by_ = now + kProgressRecheck;
+      progress_deadline_ = now + kProgressRecheck;
       return ArmTimer();
     }
-    CallFailed(CallFailure::kBroken, "no progress");
+    FailCall(CallFailure::kBroken, "no progress");
     return;
   }
   ArmTimer();
 }
 
-HttpHeaders ForwardedRequest::WithClosing(HttpHeaders headers) const {
+HttpHeaders ForwardedRequest::WithConnectionClose(HttpHeaders headers) const {
   if (*context_.closing) headers.emplace_back("Connection", "close");
   return headers;
 }
--- a/main/forwarded_request.h
+++ b/main/forwarded_request.h
@@ -22,7 +22,7 @@
 
 namespace cassiausher {
 
-/// What a request needs of its entry instance; outlives the request.
+/// Objects of the entry instance that a request uses; they outlive it.
 struct ForwardingContext {
   HttpClient* client = nullptr;
   EndpointPool* pool = nullptr;
@@ -30,12 +30,12 @@
   AnswerEstimate* answers = nullptr;
   Metrics* metrics = nullptr;
   GMainContext* context = nullptr;
-  /// Answers end their connection; the instance is about to stop.
+  /// Whether answers carry `Connection: close`, since the instance shuts down.
   const bool* closing = nullptr;
 };
 
-/// Lives until the caller has its answer or is gone. Belongs to the task of its
-/// entry instance.
+/// Lives until the caller has its answer or has disconnected. Used only on the
+/// task of its entry instance.
 class ForwardedRequest : public HttpCallSink,
                          public std::enable_shared_from_this<ForwardedRequest> {
  public:
@@ -44,7 +44,8 @@
                    Revision configuration);
   ~ForwardedRequest() override;
 
-  /// `on_end` is called once, when the caller has its answer or is gone.
+  /// `on_end` is called once, when the caller has its answer or has
+  /// disconnected.
   void Start(std::function<void()> on_end);
 
   void OnHeaders(int status, SoupMessageHeaders* headers) override;
@@ -52,21 +53,21 @@
   void OnDone(std::string_view error, bool sent) override;
 
  private:
-  void Take(ForwardStep step);
-  void Issue(const StartCall& call);
-  void CallFailed(CallFailure failure, std::string_view reason);
-  void DropCall(WorkOutcome outcome);
-  void OnAnswerWhole();
-  void OnPrefillAnswer();
+  void Execute(ForwardStep step);
+  void BeginCall(const StartCall& call);
+  void FailCall(CallFailure failure, std::string_view reason);
+  void FinishCall(WorkOutcome outcome);
+  void OnAnswerComplete();
+  void OnPrefillComplete();
   void ReportProgress();
   void RelayEvents(const std::string& events);
-  void RespondWhole();
+  void RespondBuffered();
   void OnCallerGone();
   void OnTimer();
   void ArmTimer();
   void End(std::string_view outcome, int status, std::string_view reason);
   void ReleaseHandle();
-  HttpHeaders WithClosing(HttpHeaders headers) const;
+  HttpHeaders WithConnectionClose(HttpHeaders headers) const;
 
   ForwardingContext context_;
   HttpExchangePtr exchange_;
@@ -82,18 +83,18 @@
   std::optional<StartCall> call_;
   HttpClient::CallId call_id_ = 0;
   Time call_started_{};
-  Time connect_by_{};
-  /// Between calls: when to look for room again.
-  Time wait_until_{};
-  /// The call counts as broken without an event, or an answer, until then.
-  std::optional<Time> progress_by_;
+  Time connect_deadline_{};
+  /// Between calls: when to check for free capacity again.
+  Time wait_deadline_{};
+  /// The call counts as broken if no event or answer arrives by then.
+  std::optional<Time> progress_deadline_;
   std::optional<EndpointAnswer> answer_;
   std::string body_;
   EventSplitter events_;
   int calls_ = 0;
-  /// Over all runs of the request.
+  /// Events relayed to the caller over all runs of the request.
   std::int64_t relayed_events_ = 0;
-  /// Of these, what placement knows of.
+  /// The part of `relayed_events_` that the endpoint pool has been told of.
   std::int64_t reported_events_ = 0;
   std::optional<Time> first_event_at_;
   Time last_event_at_{};
--- a/main/load_messages.h
+++ b/main/load_messages.h
@@ -1,4 +1,4 @@
-// Loads of endpoints as messages between instances.
+// Conversion of endpoint loads to and from messages between instances.
 #ifndef MAIN_LOAD_MESSAGES_H_
 #define MAIN_LOAD_MESSAGES_H_
 
@@ -9,7 +9,7 @@
 
 using LoadMessages = google::protobuf::RepeatedPtrField<proto::EndpointLoad>;
 
-/// Points of a forecast that are missing count as 0.
+/// Missing points of a memory forecast are read as 0.
 EndpointLoads ReadLoads(const LoadMessages& messages);
 void WriteLoads(const EndpointLoads& loads, LoadMessages* messages);
 
--- a/main/messages.h
+++ b/main/messages.h
@@ -21,7 +21,7 @@
 
 namespace cassiausher {
 
-/// Which pool placed a request, and who owns it.
+/// The pool that placed a request, and its owner.
 struct PoolAddress {
   DataCentreId data_centre;
   ServiceId service;
@@ -31,19 +31,20 @@
 
 // ---- To the control task -------------------------------------------------
 
-/// A serving task asks for a place.
+/// A serving task requests a placement.
 struct PlacementRequested {
   RouteRequest request;
-  /// The request's first placement: the account's limits are checked.
+  /// True for the request's first placement, when the account's limits are
+  /// checked.
   bool first = false;
 };
-/// A request that has asked for a place has ended.
+/// A request for which a placement was requested has ended.
 struct RequestEnded {
   AccountId account;
-  /// False when the account's limit refused it.
+  /// False if it was refused because of the account's limits.
   bool admitted = true;
 };
-/// A placed request moved on.
+/// Progress of a placed request.
 struct PlacementProgress {
   RequestId request;
   PoolAddress pool;
@@ -54,7 +55,8 @@
   EndpointId endpoint;
   PoolAddress pool;
 };
-/// A placed request of this entry instance, for a new pool owner.
+/// A placed request of this entry instance, offered to the pool owner for
+/// adoption.
 struct RequestOffered {
   AdoptedRequest request;
   PoolAddress pool;
@@ -63,7 +65,8 @@
 struct EndpointAnnounced {
   proto::Announcement announcement;
 };
-/// Part of a state dump; `reply` may be called from any thread.
+/// Requests the control task's part of a state dump. `reply` may be called from
+/// any thread.
 struct DumpRequested {
   std::function<void(std::string json)> reply;
 };
@@ -73,34 +76,35 @@
   std::string text;
   std::function<void(int status, std::string json)> reply;
 };
-/// The process is told to shut down gracefully.
+/// Starts a graceful shutdown of the process.
 struct ShutdownRequested {};
-/// Peers of the reloaded settings.
+/// The peer list of reloaded settings.
 struct PeersChanged {
   std::vector<PeerSettings> peers;
 };
 /// The last request has ended; the process exits shortly.
 struct LeaveRequested {};
-/// A serving task asks for the right to run a request at most once.
+/// A serving task claims an idempotency key in the ledger, so that the request
+/// runs at most once.
 struct ClaimRequested {
   LedgerClaim claim;
 };
-/// How a claimed request ended.
+/// Outcome of a claimed request.
 struct OutcomeReported {
   LedgerResult result;
 };
-/// Rows of one serving task, for a query of the control task.
+/// Request rows of one serving task, for a query run by the control task.
 struct RequestRowsGiven {
   std::uint64_t gather = 0;
   std::vector<RequestRow> rows;
 };
-/// What an endpoint of an owned pool holds.
+/// Requests that an endpoint of an owned pool holds memory for.
 struct SessionsListed {
   EndpointId endpoint;
   ServiceId service;
   std::vector<RequestId> requests;
 };
-/// A message of the control task to itself, as if from a peer.
+/// A message from the control task to itself, handled like one from a peer.
 struct LoopbackEnvelope {
   proto::Envelope envelope;
 };
@@ -123,12 +127,13 @@
   RouteRefusal refusal;
   int attempt = 0;
 };
-/// The pool has a new owner: requests placed in it are offered to the owner,
-/// requests without a place ask again.
+/// The pool has a new owner: requests placed in it are offered to the new
+/// owner, requests without a placement request one again.
 struct PoolOwnerChanged {
   PoolAddress pool;
 };
-/// The pool owner frees what an endpoint holds for a dead entry instance.
+/// The pool owner cancels a request at an endpoint, to free what the endpoint
+/// holds for a lost entry instance.
 struct CancelOrdered {
   CancelOrder order;
   PoolAddress pool;
@@ -136,16 +141,16 @@
 struct ConfigurationUpdated {
   std::shared_ptr<const Configuration> configuration;
 };
-/// Tokens of the reloaded settings.
+/// The access tokens of reloaded settings.
 struct KeysChanged {
   std::shared_ptr<const Settings::Keys> keys;
 };
-/// Rows of the requests in progress, for a query or a dump.
+/// Asks for the rows of the requests in progress, for a query or a dump.
 struct RequestRowsRequested {
   std::function<void(std::vector<RequestRow>)> reply;
 };
 
-/// The pool owner asks an endpoint what it holds.
+/// The pool owner asks an endpoint for the requests it holds memory for.
 struct SessionsRequested {
   EndpointId endpoint;
   std::string url;
@@ -155,7 +160,7 @@
 struct AdmissionChanged {
   bool admits = false;
 };
-/// Answer to ClaimRequested; nothing when no quorum answered in time.
+/// Answer to ClaimRequested; `answer` is empty if no quorum answered in time.
 struct ClaimAnswered {
   RequestId request;
   std::optional<LedgerAnswer> answer;
--- a/main/pool_service.cc
+++ b/main/pool_service.cc
@@ -66,7 +66,7 @@
     : context_(context),
       policies_(policies),
       policy_name_(std::move(policy_name)),
-      passed_on_(context.metrics.counter("requests_passed_on_total")),
+      requests_forwarded_(context.metrics.counter("requests_passed_on_total")),
       malformed_(context.metrics.counter("peer_messages_malformed_total")),
       orphans_cancelled_(context.metrics.counter("owner_cancels_total")),
       decision_time_(context.metrics.distribution("decision_seconds")),
@@ -93,10 +93,10 @@
 void PoolService::SetMembers(const std::vector<MemberRow>& members,
                              std::set<InstanceId> reachable, Time now) {
   reachable_ = std::move(reachable);
-  elsewhere_.clear();
+  remote_instances_.clear();
   for (const MemberRow& row : members) {
     const bool here = row.data_centre == context_.settings.data_centre;
-    if (!here && reachable_.contains(row.id)) elsewhere_.insert(row.id);
+    if (!here && reachable_.contains(row.id)) remote_instances_.insert(row.id);
   }
   ownership_.SetView(ViewOf(members, context_.settings.data_centre), now);
   DispatchOwnership(now);
@@ -124,10 +124,10 @@
             {{"service", service.value()},
              {"owner", event.instance.value()},
              {"epoch", event.epoch.value()}});
-        TellServing({.data_centre = context_.settings.data_centre,
-                     .service = service,
-                     .owner = event.instance,
-                     .epoch = event.epoch});
+        NotifyServingTasks({.data_centre = context_.settings.data_centre,
+                            .service = service,
+                            .owner = event.instance,
+                            .epoch = event.epoch});
         break;
     }
   }
@@ -169,7 +169,7 @@
   return ownership_.HoldsNoPools(now) || ownership_.HandoverImpossible();
 }
 
-void PoolService::TellServing(const PoolAddress& pool) {
+void PoolService::NotifyServingTasks(const PoolAddress& pool) {
   for (int i = 0; i < context_.serving_tasks; ++i) {
     context_.to_serving(i, PoolOwnerChanged{pool});
   }
@@ -215,7 +215,7 @@
 void PoolService::RequestPlacement(const RouteRequest& request, Time now) {
   const InstanceId owner = ownership_.Owner(request.service);
   if (owner == context_.settings.instance) {
-    AdmitHere(request, {}, now);
+    AdmitLocally(request, {}, now);
     return;
   }
   // Without an owner the entry asks again; see
@@ -226,60 +226,61 @@
   context_.send(owner, envelope);
 }
 
-void PoolService::AdmitHere(const RouteRequest& request,
-                            std::set<DataCentreId> passed_by, Time now) {
+void PoolService::AdmitLocally(const RouteRequest& request,
+                               std::set<DataCentreId> refused_by, Time now) {
   HostedPool* pool = HeldPool(request.service, now);
   // The asker follows the change of owner, and asks again.
   if (pool == nullptr) return;
   if (pool->host->live_endpoints() == 0) {
-    if (PassOn(request, std::move(passed_by), now)) return;
+    if (ForwardElsewhere(request, std::move(refused_by), now)) return;
     // Endpoints announce themselves to a new owner within a second or two;
     // until then the entry asks again.
     if (now - pool->acquired < kAnnouncementWait) return;
-    RefuseHere(request, RefusalReason::kUnknownService);
+    Refuse(request, RefusalReason::kUnknownService);
     return;
   }
-  passed_[request.id] = {std::move(passed_by), now};
+  refusal_history_[request.id] = {std::move(refused_by), now};
   RouteRequest admitted = request;
-  std::set<DataCentreId> visited = passed_[request.id].passed_by;
+  std::set<DataCentreId> visited = refusal_history_[request.id].refused_by;
   visited.insert(context_.settings.data_centre);
-  const RemotePool* next = NextPool(request.service, visited, now);
-  admitted.may_forward = next != nullptr && next->Room() > 0;
+  const RemotePool* next = NextRemotePool(request.service, visited, now);
+  admitted.may_forward = next != nullptr && next->SpareSlots() > 0;
   pool->host->Admit(admitted, now);
   Dispatch(*pool, now);
   decision_time_.Record(MonotonicNow() - now);
 }
 
-const PoolService::RemotePool* PoolService::NextPool(
-    const ServiceId& service, const std::set<DataCentreId>& passed_by,
+const PoolService::RemotePool* PoolService::NextRemotePool(
+    const ServiceId& service, const std::set<DataCentreId>& refused_by,
     Time now) const {
   const RemotePool* best = nullptr;
   for (const auto& [key, remote] : remote_pools_) {
     if (key.second != service || remote.endpoints == 0) continue;
     if (now - remote.received > kSummaryMaxAge) continue;
-    if (passed_by.contains(key.first)) continue;
-    if (best == nullptr || remote.Room() > best->Room()) best = &remote;
+    if (refused_by.contains(key.first)) continue;
+    if (best == nullptr || remote.SpareSlots() > best->SpareSlots())
+      best = &remote;
   }
   return best;
 }
 
-bool PoolService::PassOn(const RouteRequest& request,
-                         std::set<DataCentreId> passed_by, Time now) {
-  passed_by.insert(context_.settings.data_centre);
-  const RemotePool* next = NextPool(request.service, passed_by, now);
+bool PoolService::ForwardElsewhere(const RouteRequest& request,
+                                   std::set<DataCentreId> refused_by,
+                                   Time now) {
+  refused_by.insert(context_.settings.data_centre);
+  const RemotePool* next = NextRemotePool(request.service, refused_by, now);
   if (next == nullptr) return false;
-  passed_on_.Add();
+  requests_forwarded_.Add();
   proto::Envelope envelope;
   *envelope.mutable_route_request() = ToProto(request, now);
-  for (const DataCentreId& data_centre : passed_by) {
+  for (const DataCentreId& data_centre : refused_by) {
     envelope.mutable_route_request()->add_passed_by(data_centre.value());
   }
   context_.send(next->address.owner, envelope);
   return true;
 }
 
-void PoolService::RefuseHere(const RouteRequest& request,
-                             RefusalReason reason) {
+void PoolService::Refuse(const RouteRequest& request, RefusalReason reason) {
   DeliverRefusal({.refusal = {.request = request.id,
                               .entry = request.entry,
                               .reason = reason,
@@ -296,18 +297,18 @@
 void PoolService::DispatchOutput(HostedPool& pool, PoolOutput& output,
                                  Time now) {
   if (const auto* grant = std::get_if<Grant>(&output.output)) {
-    passed_.erase(grant->request);
+    refusal_history_.erase(grant->request);
     DeliverGrant({*grant, pool.address, output.attempt});
     return;
   }
   if (const auto* refusal = std::get_if<RouteRefusal>(&output.output)) {
-    std::set<DataCentreId> passed_by;
-    const auto passed = passed_.extract(refusal->request);
-    if (!passed.empty()) passed_by = passed.mapped().passed_by;
+    std::set<DataCentreId> refused_by;
+    const auto passed = refusal_history_.extract(refusal->request);
+    if (!passed.empty()) refused_by = passed.mapped().refused_by;
     // Each data centre is asked once. Trying only those with free slots by
     // their last summary loses 0.8% of the goodput in the policy bench.
     if (refusal->reason == RefusalReason::kOverloaded &&
-        PassOn(output.request, std::move(passed_by), now)) {
+        ForwardElsewhere(output.request, std::move(refused_by), now)) {
       return;
     }
     DeliverRefusal({*refusal, output.attempt});
@@ -359,7 +360,7 @@
                                ? ownership_.Owner(message.pool.service)
                                : message.pool.owner;
   if (owner == context_.settings.instance) {
-    ProgressHere(progress, now);
+    ApplyProgress(progress, now);
     return;
   }
   proto::Envelope envelope;
@@ -367,7 +368,7 @@
   context_.send(owner, envelope);
 }
 
-void PoolService::ProgressHere(const proto::Progress& progress, Time now) {
+void PoolService::ApplyProgress(const proto::Progress& progress, Time now) {
   const auto found = pools_.find(ServiceId(progress.service()));
   if (found == pools_.end()) return;
   PoolHost& host = *found->second.host;
@@ -404,7 +405,7 @@
   progress.set_endpoint(message.endpoint.value());
   progress.set_service(message.pool.service.value());
   if (message.pool.owner == context_.settings.instance) {
-    ProgressHere(progress, now);
+    ApplyProgress(progress, now);
     return;
   }
   proto::Envelope envelope;
@@ -414,7 +415,7 @@
 
 void PoolService::Offer(const RequestOffered& message, Time now) {
   if (message.pool.owner == context_.settings.instance) {
-    AdoptHere(message.request, now);
+    AdoptLocally(message.request, now);
     return;
   }
   proto::Envelope envelope;
@@ -426,7 +427,7 @@
   context_.send(message.pool.owner, envelope);
 }
 
-void PoolService::AdoptHere(const AdoptedRequest& request, Time now) {
+void PoolService::AdoptLocally(const AdoptedRequest& request, Time now) {
   HostedPool* pool = HeldPool(request.request.service, now);
   if (pool == nullptr) return;
   pool->host->Adopt(request, now);
@@ -436,7 +437,7 @@
 void PoolService::Announce(const proto::Announcement& announcement, Time now) {
   const InstanceId owner = ownership_.Owner(ServiceId(announcement.service()));
   if (owner == context_.settings.instance) {
-    AnnounceHere(announcement, now);
+    ApplyAnnouncement(announcement, now);
     return;
   }
   if (owner.empty()) return;
@@ -445,8 +446,8 @@
   context_.send(owner, envelope);
 }
 
-void PoolService::AnnounceHere(const proto::Announcement& announcement,
-                               Time now) {
+void PoolService::ApplyAnnouncement(const proto::Announcement& announcement,
+                                    Time now) {
   HostedPool* pool = HeldPool(ServiceId(announcement.service()), now);
   if (pool == nullptr) return;
   std::vector<CacheEvent> events;
@@ -466,12 +467,12 @@
                              const InstanceId& sender, Time now) {
   switch (envelope.body_case()) {
     case proto::Envelope::kRouteRequest: {
-      std::set<DataCentreId> passed_by;
+      std::set<DataCentreId> refused_by;
       for (const std::string& name : envelope.route_request().passed_by()) {
-        passed_by.insert(DataCentreId(name));
+        refused_by.insert(DataCentreId(name));
       }
-      AdmitHere(FromProto(envelope.route_request(), now), std::move(passed_by),
-                now);
+      AdmitLocally(FromProto(envelope.route_request(), now),
+                   std::move(refused_by), now);
       return true;
     }
     case proto::Envelope::kGrant:
@@ -481,7 +482,7 @@
       DeliverRefusal(FromProto(envelope.route_refusal()));
       return true;
     case proto::Envelope::kProgress:
-      ProgressHere(envelope.progress(), now);
+      ApplyProgress(envelope.progress(), now);
       return true;
     case proto::Envelope::kAdopt: {
       AdoptedRequest adopted;
@@ -491,11 +492,11 @@
                      static_cast<int>(RequestStage::kDecode)));
       adopted.prefill = EndpointId(envelope.adopt().prefill());
       adopted.decode = EndpointId(envelope.adopt().decode());
-      AdoptHere(adopted, now);
+      AdoptLocally(adopted, now);
       return true;
     }
     case proto::Envelope::kAnnouncement:
-      AnnounceHere(envelope.announcement(), now);
+      ApplyAnnouncement(envelope.announcement(), now);
       return true;
     case proto::Envelope::kOwnership: {
       proto::OwnershipMessage message;
@@ -531,8 +532,8 @@
   return summary;
 }
 
-std::set<InstanceId> PoolService::OtherOwners(const ServiceId& service,
-                                              Time now) const {
+std::set<InstanceId> PoolService::RemoteOwners(const ServiceId& service,
+                                               Time now) const {
   std::set<InstanceId> owners;
   for (const auto& [key, remote] : remote_pools_) {
     const bool recent = now - remote.received <= kSummarySpreadPeriod * 2;
@@ -542,25 +543,25 @@
 }
 
 void PoolService::SendSummaries(Time now) {
-  if (now - last_summary_ < kSummaryPeriod) return;
-  last_summary_ = now;
+  if (now - last_summary_at_ < kSummaryPeriod) return;
+  last_summary_at_ = now;
   for (auto& [service, pool] : pools_) {
     if (!ownership_.HeldEpoch(service, now).has_value()) continue;
     proto::Envelope envelope;
     *envelope.mutable_pool_summary() = SummaryOf(pool, now);
     const bool changed = envelope.pool_summary().SerializeAsString() !=
                          pool.summary.SerializeAsString();
-    const bool spread = now - pool.summary_spread >= kSummarySpreadPeriod;
+    const bool spread = now - pool.summary_broadcast >= kSummarySpreadPeriod;
     if (!changed && !spread && now - pool.summary_sent < kSummaryRefresh) {
       continue;
     }
     pool.summary = envelope.pool_summary();
     pool.summary_sent = now;
-    if (spread) pool.summary_spread = now;
+    if (spread) pool.summary_broadcast = now;
     // Only owners pass requests on; the others learn of the pool now and then,
     // since any of them may become an owner.
     for (const InstanceId& instance :
-         spread ? elsewhere_ : OtherOwners(service, now)) {
+         spread ? remote_instances_ : RemoteOwners(service, now)) {
       context_.send(instance, envelope);
     }
   }
@@ -578,12 +579,12 @@
   remote.queued = summary.queued();
   remote.endpoints = summary.endpoints();
   remote.received = now;
-  if (moved) TellServing(remote.address);
+  if (moved) NotifyServingTasks(remote.address);
 }
 
 void PoolService::RequestSessions(Time now) {
-  if (now - last_sessions_ < kSessionsPeriod) return;
-  last_sessions_ = now;
+  if (now - last_sessions_at_ < kSessionsPeriod) return;
+  last_sessions_at_ = now;
   for (const auto& [service, pool] : pools_) {
     for (const EndpointRow& row : pool.host->policy().Endpoints(now)) {
       if (row.info.role == EndpointRole::kPlain) continue;
@@ -618,7 +619,7 @@
     pool.host->Tick(now);
     Dispatch(pool, now);
   }
-  std::erase_if(passed_, [now](const auto& item) {
+  std::erase_if(refusal_history_, [now](const auto& item) {
     return now - item.second.since > kPassedMaxAge;
   });
 }
--- a/main/pool_service.h
+++ b/main/pool_service.h
@@ -1,5 +1,5 @@
-// The pools of this data centre that this instance owns, and the routing of
-// placement requests to the pool that answers them.
+// Hosts the pools of this data centre that this instance owns and routes
+// placement requests to the owner of the right pool.
 #ifndef MAIN_POOL_SERVICE_H_
 #define MAIN_POOL_SERVICE_H_
 
@@ -32,7 +32,8 @@
   /// `reachable`: live instances that this one can reach, itself included.
   void SetMembers(const std::vector<MemberRow>& members,
                   std::set<InstanceId> reachable, Time now);
-  /// The instance died, restarted or is cut off: its requests are cancelled.
+  /// The entry instance died, restarted or is unreachable: cancels its
+  /// requests.
   void OnEntryLost(const InstanceId& instance, Time now);
 
   // From this instance's serving and admin tasks.
@@ -43,9 +44,9 @@
   void Offer(const RequestOffered& message, Time now);
   void Announce(const proto::Announcement& announcement, Time now);
 
-  /// Hands all pools to other instances.
+  /// Starts the handover of all pools to other instances.
   void Leave(Time now);
-  /// True once this instance owns nothing, or nobody else can own it.
+  /// True once this instance owns no pool, or no other instance can take over.
   bool HandedOver(Time now) const;
 
   /// Returns false if the envelope holds no message for pools.
@@ -60,18 +61,19 @@
   ServiceId ServiceOf(const EndpointId& endpoint, Time now) const;
 
  private:
-  /// A pool that this instance owns. It acts on it only while it holds the
-  /// lease.
+  /// A pool that this instance owns. Requests are placed in it only while the
+  /// instance holds the lease.
   struct HostedPool {
     PoolAddress address;
     std::unique_ptr<PoolHost> host;
     Time acquired{};
-    /// The summary last sent, and when to the other owners and to all.
+    /// The summary last sent, when it was last sent at all, and when it was
+    /// last sent to every instance of the other data centres.
     proto::PoolSummary summary;
     Time summary_sent{};
-    Time summary_spread{};
+    Time summary_broadcast{};
   };
-  /// What another data centre's pool has said of itself.
+  /// The last summary of another data centre's pool.
   struct RemotePool {
     PoolAddress address;
     int free_slots = 0;
@@ -79,50 +81,51 @@
     int endpoints = 0;
     Time received{};
 
-    int Room() const { return free_slots - queued; }
+    int SpareSlots() const { return free_slots - queued; }
   };
-  struct PassedRequest {
-    std::set<DataCentreId> passed_by;
+  struct RefusalHistory {
+    std::set<DataCentreId> refused_by;
     Time since{};
   };
 
-  /// Null unless this instance holds the pool's lease now.
+  /// Returns null unless this instance holds the pool's lease at `now`.
   HostedPool* HeldPool(const ServiceId& service, Time now);
   void DispatchOwnership(Time now);
   void Acquire(const ServiceId& service, Epoch epoch, Time now);
   RoutingOptions OptionsFor(const ServiceId& service) const;
 
-  void AdmitHere(const RouteRequest& request, std::set<DataCentreId> passed_by,
-                 Time now);
-  /// The data centre to ask after those that refused: the one with the most
-  /// room by its last summary. Null if none is left.
-  const RemotePool* NextPool(const ServiceId& service,
-                             const std::set<DataCentreId>& passed_by,
-                             Time now) const;
-  /// Returns false when no other data centre is left to ask.
-  bool PassOn(const RouteRequest& request, std::set<DataCentreId> passed_by,
-              Time now);
-  void ProgressHere(const proto::Progress& progress, Time now);
-  void AnnounceHere(const proto::Announcement& announcement, Time now);
-  void AdoptHere(const AdoptedRequest& request, Time now);
+  void AdmitLocally(const RouteRequest& request,
+                    std::set<DataCentreId> refused_by, Time now);
+  /// The pool to try next, outside the data centres that refused: the one with
+  /// the most spare slots by its last summary. Null if none is left.
+  const RemotePool* NextRemotePool(const ServiceId& service,
+                                   const std::set<DataCentreId>& refused_by,
+                                   Time now) const;
+  /// Forwards the request to a pool in another data centre. Returns false if
+  /// none is left to try.
+  bool ForwardElsewhere(const RouteRequest& request,
+                        std::set<DataCentreId> refused_by, Time now);
+  void ApplyProgress(const proto::Progress& progress, Time now);
+  void ApplyAnnouncement(const proto::Announcement& announcement, Time now);
+  void AdoptLocally(const AdoptedRequest& request, Time now);
   void OnPoolSummary(const proto::PoolSummary& summary,
                      const InstanceId& sender, Time now);
   void SendSummaries(Time now);
   proto::PoolSummary SummaryOf(const HostedPool& pool, Time now) const;
-  /// Owners of the same service's pools in other data centres.
-  std::set<InstanceId> OtherOwners(const ServiceId& service, Time now) const;
+  /// Owners of the service's pools in other data centres.
+  std::set<InstanceId> RemoteOwners(const ServiceId& service, Time now) const;
   void RequestSessions(Time now);
-  void RefuseHere(const RouteRequest& request, RefusalReason reason);
+  void Refuse(const RouteRequest& request, RefusalReason reason);
   void Dispatch(HostedPool& pool, Time now);
   void DispatchOutput(HostedPool& pool, PoolOutput& output, Time now);
   void DeliverGrant(const PlacementGranted& granted);
   void DeliverRefusal(const PlacementRefused& refused);
-  void TellServing(const PoolAddress& pool);
+  void NotifyServingTasks(const PoolAddress& pool);
 
   ControlContext& context_;
   const RoutingPolicyRegistry& policies_;
   std::string policy_name_;
-  Counter& passed_on_;
+  Counter& requests_forwarded_;
   Counter& malformed_;
   Counter& orphans_cancelled_;
   Distribution& decision_time_;
@@ -130,13 +133,14 @@
   Ownership ownership_;
   std::set<InstanceId> reachable_;
   /// Reachable instances of other data centres.
-  std::set<InstanceId> elsewhere_;
+  std::set<InstanceId> remote_instances_;
   std::map<ServiceId, HostedPool> pools_;
   std::map<std::pair<DataCentreId, ServiceId>, RemotePool> remote_pools_;
-  /// Data centres that refused a request before it came here.
-  std::unordered_map<RequestId, PassedRequest> passed_;
-  Time last_summary_{};
-  Time last_sessions_{};
+  /// For each request in this data centre's pools, the data centres that
+  /// refused it before.
+  std::unordered_map<RequestId, RefusalHistory> refusal_history_;
+  Time last_summary_at_{};
+  Time last_sessions_at_{};
 };
 
 }  // namespace cassiausher
--- a/main/request_id.h
+++ b/main/request_id.h
@@ -1,5 +1,5 @@
-// Ids of requests. The suffix names the entry instance and its serving task, so
-// that a grant finds its way without a table.
+// Request ids. The suffix names the entry instance and its serving task, so
+// that a grant is routed to that task without a lookup table.
 #ifndef MAIN_REQUEST_ID_H_
 #define MAIN_REQUEST_ID_H_
 
@@ -16,10 +16,10 @@
 RequestId MakeRequestId(std::string_view caller_id, const InstanceId& instance,
                         int task, std::uint64_t counter);
 
-/// Serving task of an id that this instance made; -1 for any other id.
+/// Serving task of an id made by `instance`; -1 for any other id.
 int ServingTaskOf(const RequestId& request, const InstanceId& instance);
 
-/// Entry instance of an id; empty if the id is no such id.
+/// Entry instance of an id; empty if the id doesn't have this form.
 InstanceId EntryOf(const RequestId& request);
 
 /// Whether a caller's X-Request-Id may become part of an id: 1 to 64 letters,
--- a/main/serving_context.h
+++ b/main/serving_context.h
@@ -1,4 +1,4 @@
-// What the parts of one serving task share. Everything belongs to that task.
+// Objects shared by the parts of one serving task; used only on that task.
 #ifndef MAIN_SERVING_CONTEXT_H_
 #define MAIN_SERVING_CONTEXT_H_
 
@@ -41,11 +41,11 @@
   const Settings& settings;
   HttpClient& http;
   const EndpointDriver& driver;
-  /// Set once, right after the queue is made from this context.
+  /// Set once, right after the queue is constructed with this context.
   CancelQueue* cancels = nullptr;
   ServingMetrics& metrics;
   std::function<void(ControlMessage)> to_control;
-  /// Of this run of the process.
+  /// Identifies this run of the process.
   Incarnation incarnation{0};
 };
 
--- a/main/serving_task.cc
+++ b/main/serving_task.cc
@@ -171,7 +171,7 @@
 }
 
 void ServingTask::On(AdmissionChanged& message, Time) {
-  admits_ = message.admits;
+  admits_requests_ = message.admits;
 }
 
 void ServingTask::On(KeysChanged& message, Time) {
@@ -219,10 +219,11 @@
     return;
   }
   if (path == "/readyz") {
-    exchange->Respond(shutting_down_ || !admits_ ? 503 : 200, "text/plain",
-                      shutting_down_ ? "shutting down\n"
-                      : !admits_     ? "no current configuration\n"
-                                     : "ready\n");
+    exchange->Respond(shutting_down_ || !admits_requests_ ? 503 : 200,
+                      "text/plain",
+                      shutting_down_      ? "shutting down\n"
+                      : !admits_requests_ ? "no current configuration\n"
+                                          : "ready\n");
     return;
   }
   if (path == "/v1/models") return HandleModels(*exchange);
@@ -243,7 +244,7 @@
 
 void ServingTask::HandleModels(HttpExchange& exchange) {
   CallerRequest request;
-  if (!ReadMarks(exchange, &request)) return;
+  if (!ReadCommonHeaders(exchange, &request)) return;
   nlohmann::json data = nlohmann::json::array();
   for (const auto& [id, service] : configuration_->services) {
     if (service.kind != ServiceKind::kRunner) continue;
@@ -254,7 +255,8 @@
                    nlohmann::json{{"object", "list"}, {"data", data}}.dump());
 }
 
-bool ServingTask::ReadMarks(HttpExchange& exchange, CallerRequest* request) {
+bool ServingTask::ReadCommonHeaders(HttpExchange& exchange,
+                                    CallerRequest* request) {
   const auto owner =
       tokens_.Find(BearerToken(exchange.header("Authorization")));
   if (!owner.has_value()) {
@@ -384,7 +386,7 @@
                               .message = "use POST"});
   }
   CallerRequest request;
-  if (!ReadMarks(*exchange, &request)) return;
+  if (!ReadCommonHeaders(*exchange, &request)) return;
   request.chat = chat;
   request.path = std::string(exchange->path());
   request.body = std::string(exchange->body());
@@ -403,7 +405,7 @@
 
 void ServingTask::HandlePlain(HttpExchangePtr exchange) {
   CallerRequest request;
-  if (!ReadMarks(*exchange, &request)) return;
+  if (!ReadCommonHeaders(*exchange, &request)) return;
   std::string_view rest = exchange->path();
   rest.remove_prefix(kServicesPrefix.size());
   const std::size_t slash = rest.find('/');
@@ -433,7 +435,7 @@
                               .message = "this instance is shutting down",
                               .retry_after = kBusyRetryAfter});
   }
-  if (!admits_) {
+  if (!admits_requests_) {
     return Refuse(*exchange,
                   {.status = 503,
                    .type = "unavailable",
@@ -489,12 +491,12 @@
     const auto found = claims_.find(id);
     if (found == claims_.end()) return;
     serving_metrics_.cancelled.Add();
-    ReleaseClaim(TakeClaim(id));
+    ReleaseClaim(RemoveClaimWaiter(id));
   });
   to_control_(ClaimRequested{waiter.claim});
 }
 
-ServingTask::ClaimWaiter ServingTask::TakeClaim(const RequestId& id) {
+ServingTask::ClaimWaiter ServingTask::RemoveClaimWaiter(const RequestId& id) {
   const auto found = claims_.find(id);
   ClaimWaiter waiter = std::move(found->second);
   claims_.erase(found);
@@ -517,10 +519,10 @@
       std::holds_alternative<AttachToRequest>(*message.answer);
   if (attached) {
     waiter.attached = true;
-    waiter.ask_again = now + kAttachPoll;
+    waiter.next_poll = now + kAttachPoll;
     return;
   }
-  ClaimWaiter settled = TakeClaim(message.request);
+  ClaimWaiter settled = RemoveClaimWaiter(message.request);
   if (message.answer.has_value()) {
     SettleClaim(std::move(settled), *message.answer);
     return;
@@ -621,13 +623,13 @@
   for (auto& [id, waiter] : claims_) {
     if (now >= waiter.deadline) {
       expired.push_back(id);
-    } else if (now >= waiter.ask_again) {
-      waiter.ask_again = Time::max();
+    } else if (now >= waiter.next_poll) {
+      waiter.next_poll = Time::max();
       to_control_(ClaimRequested{waiter.claim});
     }
   }
   for (const RequestId& id : expired) {
-    const ClaimWaiter waiter = TakeClaim(id);
+    const ClaimWaiter waiter = RemoveClaimWaiter(id);
     ReleaseClaim(waiter);
     RespondError(*waiter.exchange,
                  {.status = 504,
--- a/main/serving_task.h
+++ b/main/serving_task.h
@@ -35,7 +35,7 @@
 
   void Post(ServingMessage message) { mailbox_.Post(std::move(message)); }
 
-  /// Error of opening the caller port; empty on success. Valid after Start.
+  /// Error from opening the caller port; empty on success. Valid after Start.
   const std::string& listen_error() const { return listen_error_; }
   std::uint16_t port() const { return server_->port(); }
 
@@ -61,9 +61,9 @@
   void HandleModels(HttpExchange& exchange);
   void HandleCompletion(HttpExchangePtr exchange, bool chat);
   void HandlePlain(HttpExchangePtr exchange);
-  /// Fills account, class, key and idempotence. Returns false after it has
-  /// answered the exchange with a refusal.
-  bool ReadMarks(HttpExchange& exchange, CallerRequest* request);
+  /// Authenticates the caller and fills account, request id, class and
+  /// idempotency key. Returns false after answering with a refusal.
+  bool ReadCommonHeaders(HttpExchange& exchange, CallerRequest* request);
   bool ReadLastEventId(HttpExchange& exchange, CallerRequest* request);
   bool CheckService(HttpExchange& exchange, ServiceKind kind,
                     CallerRequest* request);
@@ -74,7 +74,8 @@
   void Run(CallerRequest request, bool plain, bool claimed,
            HttpExchangePtr exchange);
 
-  /// A request that waits for its claim, or for the request that holds it.
+  /// A request that waits for its claim, or for the request that holds the
+  /// claim on the same key.
   struct ClaimWaiter {
     CallerRequest request;
     bool plain = false;
@@ -82,12 +83,12 @@
     LedgerClaim claim;
     /// The claim was granted to another request with the same key.
     bool attached = false;
-    Time ask_again{Time::max()};
+    Time next_poll{Time::max()};
     Time deadline{};
   };
   void Claim(CallerRequest request, bool plain, HttpExchangePtr exchange);
-  /// Removes a waiter that exists.
-  ClaimWaiter TakeClaim(const RequestId& id);
+  /// Removes and returns the waiter, which must exist.
+  ClaimWaiter RemoveClaimWaiter(const RequestId& id);
   void ReleaseClaim(const ClaimWaiter& waiter);
   void SettleClaim(ClaimWaiter waiter, const LedgerAnswer& answer);
   void Replay(const ClaimWaiter& waiter, const RecordedAnswer& answer);
@@ -108,7 +109,7 @@
   std::function<void(ControlMessage)> to_control_;
   Incarnation incarnation_;
   std::shared_ptr<const Configuration> configuration_;
-  /// Of the settings, until a reload replaces them.
+  /// The settings' keys, replaced on each reload.
   std::shared_ptr<const Settings::Keys> keys_;
   TokenTable tokens_;
   std::unordered_map<RequestId, std::unique_ptr<ActiveRequest>> active_;
@@ -116,9 +117,9 @@
   std::map<EndpointId, std::unique_ptr<SessionsCall>> sessions_calls_;
   std::uint64_t next_request_;
   bool shutting_down_ = false;
-  /// The configuration held here is known to be current, or nobody who could
-  /// know better can be reached.
-  bool admits_ = false;
+  /// The configuration held here is known to be current, or no instance that
+  /// could hold a newer one is reachable.
+  bool admits_requests_ = false;
   std::string listen_error_;
   GSourcePtr timer_;
   Mailbox<ServingMessage> mailbox_;
--- a/main/sessions_call.cc
+++ b/main/sessions_call.cc
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-SessionsCall::SessionsCall(ServingContext& context, SessionsRequested asked,
+SessionsCall::SessionsCall(ServingContext& context, SessionsRequested request,
                            bool new_connection)
-    : context_(context), asked_(std::move(asked)) {
-  const EndpointCall built = context_.driver.BuildSessions(asked_.url);
+    : context_(context), request_(std::move(request)) {
+  const EndpointCall built = context_.driver.BuildSessions(request_.url);
   call_ = context_.http.Start({.method = built.method,
                                .url = built.url,
                                .headers = built.headers,
@@ -36,7 +36,7 @@
 
 void SessionsCall::OnDone(std::string_view error, bool) {
   call_ = 0;
-  SessionsListed listed{asked_.endpoint, asked_.service, {}};
+  SessionsListed listed{request_.endpoint, request_.service, {}};
   const bool whole = error.empty() && status_ == kStatusOk;
   if (!whole || !context_.driver.ParseSessions(body_, &listed.requests)) return;
   context_.to_control(std::move(listed));
--- a/main/sessions_call.h
+++ b/main/sessions_call.h
@@ -1,4 +1,4 @@
-// One call to an endpoint that lists the requests it holds memory for.
+// A call that asks an endpoint for the requests it holds memory for.
 #ifndef MAIN_SESSIONS_CALL_H_
 #define MAIN_SESSIONS_CALL_H_
 
@@ -10,11 +10,11 @@
 
 namespace cassiausher {
 
-/// Posts SessionsListed when the endpoint answers; drops the call when it is
-/// destroyed first.
+/// Posts SessionsListed when the endpoint answers. Cancels the call if
+/// destroyed before.
 class SessionsCall : public HttpCallSink {
  public:
-  SessionsCall(ServingContext& context, SessionsRequested asked,
+  SessionsCall(ServingContext& context, SessionsRequested request,
                bool new_connection);
   ~SessionsCall() override;
 
@@ -26,7 +26,7 @@
 
  private:
   ServingContext& context_;
-  SessionsRequested asked_;
+  SessionsRequested request_;
   HttpClient::CallId call_ = 0;
   int status_ = 0;
   std::string body_;
--- a/main/token_table.h
+++ b/main/token_table.h
@@ -1,4 +1,4 @@
-// Bearer tokens and whom they stand for. Only SHA-256 hashes are kept.
+// Maps bearer tokens to their owners. Only SHA-256 hashes are stored.
 #ifndef MAIN_TOKEN_TABLE_H_
 #define MAIN_TOKEN_TABLE_H_
 
@@ -12,7 +12,8 @@
 /// SHA-256 in lower-case hexadecimal.
 std::string Sha256Hex(std::string_view text);
 
-/// Value behind "Bearer " in an Authorization header; empty if there is none.
+/// The token after "Bearer " in an Authorization header; empty if there is
+/// none.
 std::string_view BearerToken(std::string_view authorization);
 
 struct TokenOwner {
@@ -24,8 +25,8 @@
  public:
   void Add(const std::string& sha256, TokenOwner owner);
 
-  /// The comparison of hashes takes the same time for any token: the table is
-  /// keyed by half of the hash, and the whole is compared without early exit.
+  /// Compares hashes in constant time: the table is keyed by half of the hash,
+  /// and the whole hash is compared without early exit.
   std::optional<TokenOwner> Find(std::string_view token) const;
 
  private:
