--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -103,7 +103,7 @@
        {"term", raft.term()},
        {"leader", raft.leader().instance.value()}});
   if (raft.role() == RaftRole::kLeader) return;
-  if (coordinator_.leading()) coordinator_.LoseLeadership();
+  if (coordinator_.leading()) coordinator_.StepDown();
   reads_.clear();
   // Their entries may still be committed; the askers repeat their commands,
   // which the state recognises.
@@ -158,7 +158,7 @@
     } else if (const auto* answer = std::get_if<AnswerSubmission>(&output)) {
       delegate_.OnSubmissionAnswered(answer->submission, answer->answer);
     } else {
-      const auto& lost = std::get<LoseSubmission>(output);
+      const auto& lost = std::get<AbandonSubmission>(output);
       delegate_.OnSubmissionLost(lost.submission, lost.reason);
     }
   }
--- a/servers/configuration/change_coordinator.cc
+++ b/servers/configuration/change_coordinator.cc
@@ -40,13 +40,13 @@
     : state_(state), options_(options) {}
 
 void ChangeCoordinator::BecomeLeader(Time now) {
-  LoseLeadership();
+  StepDown();
   leading_ = true;
   leading_since_ = now;
   Advance(now);
 }
 
-void ChangeCoordinator::LoseLeadership() {
+void ChangeCoordinator::StepDown() {
   leading_ = false;
   quorum_contact_.reset();
   followers_.clear();
@@ -57,7 +57,7 @@
   next_confirm_proposal_ = Time();
   for (const Waiter& waiter : waiters_) {
     outputs_.push_back(
-        LoseSubmission{waiter.submission, "the leader of the log changed"});
+        AbandonSubmission{waiter.submission, "the leader of the log changed"});
   }
   waiters_.clear();
 }
@@ -75,7 +75,8 @@
 void ChangeCoordinator::Submit(std::uint64_t submission, const Change& change,
                                Time now) {
   if (!leading_) {
-    outputs_.push_back(LoseSubmission{submission, "not the leader of the log"});
+    outputs_.push_back(
+        AbandonSubmission{submission, "not the leader of the log"});
     return;
   }
   const std::size_t id_bytes = change.id.value().size();
@@ -94,7 +95,7 @@
   Waiter waiter{submission, change.id, HashOfText(change.text), std::nullopt};
   if (Settle(&waiter, now)) return;
   if (waiters_.size() >= options_.waiting_changes) {
-    outputs_.push_back(LoseSubmission{submission, "too many changes wait"});
+    outputs_.push_back(AbandonSubmission{submission, "too many changes wait"});
     return;
   }
   waiters_.push_back(std::move(waiter));
--- a/servers/configuration/change_coordinator.h
+++ b/servers/configuration/change_coordinator.h
@@ -50,13 +50,13 @@
   ChangeAnswer answer;
 };
 /// The outcome isn't known here; the operator sends the same id again.
-struct LoseSubmission {
+struct AbandonSubmission {
   std::uint64_t submission = 0;
   std::string reason;
 };
 
 using CoordinatorOutput =
-    std::variant<SendToInstance, Propose, AnswerSubmission, LoseSubmission>;
+    std::variant<SendToInstance, Propose, AnswerSubmission, AbandonSubmission>;
 
 /// Not thread safe; the control task owns it. It decides from the replicated
 /// state, so that a new leader continues where the log ends: a staged change
@@ -72,7 +72,7 @@
   /// Call once the leader has applied an entry of its own term.
   void BecomeLeader(Time now);
   /// Waiting submissions are lost; a staged change is left to the next leader.
-  void LoseLeadership();
+  void StepDown();
   /// A majority of voters confirmed a heartbeat sent at `sent_at`. Leases end
   /// at most `lease` after it, so that those of a deposed leader have ended
   /// once a new leader has led for as long.
--- a/tests/configuration/change_simulation.cc
+++ b/tests/configuration/change_simulation.cc
@@ -212,7 +212,7 @@
       if (victim == leader_) Elect();
       victim->up = false;
       if (victim->coordinator != nullptr) {
-        victim->coordinator->LoseLeadership();
+        victim->coordinator->StepDown();
         Flush(victim);
         // The log on disk survives, here as a snapshot.
         ReplicatedState restored;
@@ -256,7 +256,7 @@
   if (former != nullptr) {
     After(Milliseconds(static_cast<int>(random_.Below(700))), [this, former] {
       if (former == leader_) return;
-      former->coordinator->LoseLeadership();
+      former->coordinator->StepDown();
       Flush(former);
     });
   }
@@ -400,7 +400,7 @@
 
     } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
       Send(*instance, send->to, send->message);
-    } else if (const auto* lost = std::get_if<LoseSubmission>(&output)) {
+    } else if (const auto* lost = std::get_if<AbandonSubmission>(&output)) {
       open_.erase(lost->submission);
     } else {
       const auto& answer = std::get<AnswerSubmission>(output);
