--- a/scripts/mutations/configuration.sh
+++ b/scripts/mutations/configuration.sh
@@ -76,9 +76,9 @@
 mutate 6 "a new leader confirms before the leases of the former one end" $c/change_coordinator.cc \
   'if (now < leading_since_ + longest) return;' ''
 mutate 7 "confirmation ignores leases of instances that membership lost" $c/change_coordinator.cc \
-  'if (view.lease_until > now) required.insert(instance);' ''
+  'if (progress.lease_until > now) required.insert(instance);' ''
 mutate 8 "confirmation ignores leases in excluded data centres" $c/change_coordinator.cc \
-  'if (view.lease_until <= now || runs_it(view)) continue;' 'continue;'
+  'if (progress.lease_until <= now || runs_it(progress)) continue;' 'continue;'
 mutate 9 "a confirmation covers later revisions as well" $c/replicated_state.cc \
   'if (record.answer.revision > entry.revision) continue;' ''
 mutate 10 "a late activation activates another staged change" $c/replicated_state.cc \
--- a/servers/configuration/admission_gate.cc
+++ b/servers/configuration/admission_gate.cc
@@ -3,38 +3,38 @@
 
 namespace cassiausher {
 
-void AdmissionGate::Update(const AdmissionFacts& facts, Time now) {
-  const bool was_paused =
-      last_update_ && now - *last_update_ > options_.longest_pause;
+void AdmissionGate::Update(const AdmissionInputs& inputs, Time now) {
+  const bool was_suspended =
+      last_update_ && now - *last_update_ > options_.max_update_gap;
   last_update_ = now;
-  const AdmissionState next = Next(facts, was_paused, now);
+  const AdmissionState next = NextState(inputs, was_suspended, now);
   if (next == state_) return;
   state_ = next;
-  entered_ = now;
+  state_since_ = now;
 }
 
-AdmissionState AdmissionGate::Next(const AdmissionFacts& facts, bool was_paused,
-                                   Time now) const {
-  if (!facts.has_configuration) return AdmissionState::kStarting;
-  if (facts.lease_valid) return AdmissionState::kCurrent;
+AdmissionState AdmissionGate::NextState(const AdmissionInputs& inputs,
+                                        bool was_suspended, Time now) const {
+  if (!inputs.has_configuration) return AdmissionState::kStarting;
+  if (inputs.lease_valid) return AdmissionState::kCurrent;
   // After a pause the view of the others is as old as the pause.
-  if (was_paused) return AdmissionState::kReturning;
-  const bool is_waiting = state_ == AdmissionState::kReturning;
+  if (was_suspended) return AdmissionState::kRejoining;
+  const bool is_waiting = state_ == AdmissionState::kRejoining;
   const bool waits_too_long =
-      is_waiting && now - entered_ >= options_.longest_return;
-  if (!facts.reaches_voter) {
+      is_waiting && now - state_since_ >= options_.rejoin_timeout;
+  if (!inputs.reaches_voter) {
     // Membership may still be finding its peers again.
     const bool may_be_finding = is_waiting && !waits_too_long;
-    return may_be_finding ? AdmissionState::kReturning
-                          : AdmissionState::kCutOff;
+    return may_be_finding ? AdmissionState::kRejoining
+                          : AdmissionState::kPartitioned;
   }
   switch (state_) {
     case AdmissionState::kStarting:
-    case AdmissionState::kCutOff:
-      return AdmissionState::kReturning;
-    case AdmissionState::kReturning:
+    case AdmissionState::kPartitioned:
+      return AdmissionState::kRejoining;
+    case AdmissionState::kRejoining:
       return waits_too_long ? AdmissionState::kLeaderless
-                            : AdmissionState::kReturning;
+                            : AdmissionState::kRejoining;
     case AdmissionState::kCurrent:
     case AdmissionState::kLeaderless:
       break;
--- a/servers/configuration/admission_gate.h
+++ b/servers/configuration/admission_gate.h
@@ -1,6 +1,6 @@
-// Decides whether an instance may admit new requests under its copy of the
-// configuration: while it is current or cut off, but not between its return
-// and the moment it has followed the log.
+// Decides whether an instance may admit new requests with its copy of the
+// configuration: it may while it holds a lease, is partitioned from all voters
+// or finds no leader, but not between rejoining and its next lease.
 #ifndef SERVERS_CONFIGURATION_ADMISSION_GATE_H_
 #define SERVERS_CONFIGURATION_ADMISSION_GATE_H_
 
@@ -11,16 +11,16 @@
 namespace cassiausher {
 
 struct AdmissionGateOptions {
-  /// A returned instance waits this long for a lease. Then no leader exists,
-  /// no change can come into force, and it serves with what it has. Covers an
-  /// election and several Follow messages.
-  Duration longest_return = Seconds(5);
-  /// Two updates further apart mean that the process was stopped; it may have
-  /// missed changes although its view of the others looks fresh.
-  Duration longest_pause = Seconds(1);
+  /// How long a rejoining instance waits for a lease. After that there is no
+  /// leader, so no change can come into force, and the instance serves with
+  /// the configuration it has. Covers an election and several Follow messages.
+  Duration rejoin_timeout = Seconds(5);
+  /// A longer gap between two updates means that the process was suspended: it
+  /// may have missed changes although its membership view looks fresh.
+  Duration max_update_gap = Seconds(1);
 };
 
-struct AdmissionFacts {
+struct AdmissionInputs {
   /// ConfigurationFollower::active() isn't null.
   bool has_configuration = false;
   /// ConfigurationFollower::LeaseValid(now).
@@ -30,11 +30,11 @@
 };
 
 enum class AdmissionState {
-  kStarting,    ///< No configuration yet; admits nothing.
-  kCurrent,     ///< Holds a lease.
-  kCutOff,      ///< Reaches no voter; serves with the last configuration.
-  kReturning,   ///< Reaches voters again, holds no lease yet; admits nothing.
-  kLeaderless,  ///< Reaches voters, but none of them leads.
+  kStarting,     ///< No configuration yet; admits nothing.
+  kCurrent,      ///< Holds a lease.
+  kPartitioned,  ///< Reaches no voter; serves with the last configuration.
+  kRejoining,    ///< Reaches voters again without a lease yet; admits nothing.
+  kLeaderless,   ///< Reaches voters, but no leader; serves as when partitioned.
 };
 
 /// Not thread safe; the control task owns it.
@@ -43,22 +43,22 @@
   explicit AdmissionGate(AdmissionGateOptions options = {})
       : options_(options) {}
 
-  /// Call at each tick and before the first admission after a pause.
-  void Update(const AdmissionFacts& facts, Time now);
+  /// Call at each tick and before the first admission after a suspension.
+  void Update(const AdmissionInputs& inputs, Time now);
 
   AdmissionState state() const { return state_; }
   bool MayAdmit() const {
     return state_ != AdmissionState::kStarting &&
-           state_ != AdmissionState::kReturning;
+           state_ != AdmissionState::kRejoining;
   }
 
  private:
-  AdmissionState Next(const AdmissionFacts& facts, bool was_paused,
-                      Time now) const;
+  AdmissionState NextState(const AdmissionInputs& inputs, bool was_suspended,
+                           Time now) const;
 
   AdmissionGateOptions options_;
   AdmissionState state_ = AdmissionState::kStarting;
-  Time entered_{};
+  Time state_since_{};
   std::optional<Time> last_update_;
 };
 
--- a/servers/configuration/change.h
+++ b/servers/configuration/change.h
@@ -43,7 +43,7 @@
   kVoter = 8,
 };
 
-/// Position in the change's text; both count from 1.
+/// Position in the change's text; line and column count from 1.
 struct SourcePlace {
   int line = 1;
   int column = 1;
@@ -59,7 +59,7 @@
   ObjectKind object = ObjectKind::kService;
   /// Name of the object; of the limit when `object` is kLimit.
   std::string name;
-  /// Only for kSet, except on limits.
+  /// Only for kSet; empty for a limit, which has no fields.
   std::string field;
   /// Only for kSet.
   Value value;
@@ -73,8 +73,8 @@
   /// The change is refused unless this revision is the active one.
   std::optional<Revision> expected_revision;
   std::vector<Operation> operations;
-  /// The statement as the operator wrote it; decides whether a repeated id is
-  /// the same change.
+  /// The statement as the operator wrote it; a repeated id with another text
+  /// is refused.
   std::string text;
 
   bool operator==(const Change&) const = default;
@@ -83,18 +83,18 @@
 std::string_view NameOf(ObjectKind kind);
 
 /// Applies all operations in order and validates the result. On success the
-/// revision is one above that of `base`; otherwise every wrong operation is
-/// reported with its line and column, and nothing is applied. At most one
-/// voter is added or removed by a change, so that old and new majorities of
-/// the consensus group overlap.
+/// revision is one above that of `base`; otherwise every invalid operation is
+/// reported with its line and column, and nothing is applied. A change adds or
+/// removes at most one voter, so that old and new majorities of the consensus
+/// group overlap.
 std::variant<Configuration, Findings> ApplyChange(const Change& change,
                                                   const Configuration& base);
 
-/// Says which service an endpoint belongs to; empty if it isn't known.
+/// Returns the service of an endpoint, or an empty id if it is unknown.
 using ServiceOfEndpoint = std::function<ServiceId(const EndpointId&)>;
 
-/// Reports the operations that the account may not perform: an administrator
-/// performs all, an operator those on the services of its team, their
+/// Reports the operations that the account may not perform. An administrator
+/// may perform all; an operator may change the services of its team, their
 /// endpoints and the classes that only those services use.
 Findings CheckPermission(const Change& change, const ClientAccount& account,
                          const Configuration& configuration,
--- a/servers/configuration/change_coordinator.cc
+++ b/servers/configuration/change_coordinator.cc
@@ -55,11 +55,11 @@
   next_stage_proposal_ = Time();
   next_activate_send_ = Time();
   next_confirm_proposal_ = Time();
-  for (const Waiter& waiter : waiters_) {
+  for (const PendingSubmission& pending : pending_submissions_) {
     outputs_.push_back(
-        AbandonSubmission{waiter.submission, "the leader of the log changed"});
+        AbandonSubmission{pending.submission, "the leader of the log changed"});
   }
-  waiters_.clear();
+  pending_submissions_.clear();
 }
 
 void ChangeCoordinator::OnQuorumContact(Time sent_at) {
@@ -92,13 +92,14 @@
     Refuse(submission, "change id", kOtherText);
     return;
   }
-  Waiter waiter{submission, change.id, HashOfText(change.text), std::nullopt};
-  if (Settle(&waiter, now)) return;
-  if (waiters_.size() >= options_.waiting_changes) {
+  PendingSubmission pending{submission, change.id, HashOfText(change.text),
+                            std::nullopt};
+  if (TryAnswer(&pending, now)) return;
+  if (pending_submissions_.size() >= options_.max_pending_submissions) {
     outputs_.push_back(AbandonSubmission{submission, "too many changes wait"});
     return;
   }
-  waiters_.push_back(std::move(waiter));
+  pending_submissions_.push_back(std::move(pending));
   const bool is_new =
       queued == queue_.end() && state_->FindRecord(change.id) == nullptr;
   if (is_new) queue_.push_back(change);
@@ -111,16 +112,17 @@
     outputs_.push_back(SendToInstance{follow.instance, std::move(answer)});
     return;
   }
-  FollowerView* view = ViewOf(follow.instance, follow.incarnation);
-  if (view == nullptr) return;
-  view->data_centre = follow.data_centre;
-  view->has_configuration |= follow.has_configuration;
-  view->active = std::max(view->active, follow.active);
-  view->staged_index = std::max(view->staged_index, follow.staged_index);
-  GrantLease(view, &answer, now);
+  FollowerProgress* progress = ProgressOf(follow.instance, follow.incarnation);
+  if (progress == nullptr) return;
+  progress->data_centre = follow.data_centre;
+  progress->has_configuration |= follow.has_configuration;
+  progress->active = std::max(progress->active, follow.active);
+  progress->staged_index =
+      std::max(progress->staged_index, follow.staged_index);
+  GrantLease(progress, &answer, now);
   outputs_.push_back(SendToInstance{follow.instance, std::move(answer)});
   const auto& staged = state_->staged();
-  if (staged && view->staged_index != staged->index) {
+  if (staged && progress->staged_index != staged->index) {
     SendStage(follow.instance, *staged);
   }
   Advance(now);
@@ -128,20 +130,21 @@
 
 void ChangeCoordinator::OnStaged(const Staged& staged, Time now) {
   if (!leading_) return;
-  FollowerView* view = ViewOf(staged.instance, staged.incarnation);
-  if (view == nullptr) return;
-  view->has_configuration = true;
-  view->active = std::max(view->active, staged.active);
-  view->staged_index = std::max(view->staged_index, staged.stage_index);
+  FollowerProgress* progress = ProgressOf(staged.instance, staged.incarnation);
+  if (progress == nullptr) return;
+  progress->has_configuration = true;
+  progress->active = std::max(progress->active, staged.active);
+  progress->staged_index = std::max(progress->staged_index, staged.stage_index);
   Advance(now);
 }
 
 void ChangeCoordinator::OnActivated(const Activated& activated, Time now) {
   if (!leading_) return;
-  FollowerView* view = ViewOf(activated.instance, activated.incarnation);
-  if (view == nullptr) return;
-  view->has_configuration = true;
-  view->active = std::max(view->active, activated.active);
+  FollowerProgress* progress =
+      ProgressOf(activated.instance, activated.incarnation);
+  if (progress == nullptr) return;
+  progress->has_configuration = true;
+  progress->active = std::max(progress->active, activated.active);
   Advance(now);
 }
 
@@ -172,10 +175,10 @@
   if (live == members_.end()) return std::nullopt;
   std::optional<Revision> lowest;
   for (const InstanceId& instance : live->second) {
-    const auto view = followers_.find(instance);
-    if (view == followers_.end()) continue;
-    lowest =
-        std::min(lowest.value_or(view->second.active), view->second.active);
+    const auto progress = followers_.find(instance);
+    if (progress == followers_.end()) continue;
+    lowest = std::min(lowest.value_or(progress->second.active),
+                      progress->second.active);
   }
   return lowest;
 }
@@ -189,7 +192,7 @@
     ProposeNextChange(now);
   }
   DriveActivation(now);
-  SettleWaiters(now);
+  AnswerPendingSubmissions(now);
 }
 
 void ChangeCoordinator::ProposeNextChange(Time now) {
@@ -224,9 +227,9 @@
   // nobody waits for them.
   for (const auto& [data_centre, instances] : members_) {
     for (const InstanceId& instance : instances) {
-      const auto view = followers_.find(instance);
-      const bool has_it =
-          view != followers_.end() && view->second.staged_index == staged.index;
+      const auto progress = followers_.find(instance);
+      const bool has_it = progress != followers_.end() &&
+                          progress->second.staged_index == staged.index;
       if (!has_it) SendStage(instance, staged);
     }
   }
@@ -249,8 +252,9 @@
     message.hash = state_->active_hash();
     for (const auto& [data_centre, instances] : members_) {
       for (const InstanceId& instance : instances) {
-        const auto view = followers_.find(instance);
-        if (view != followers_.end() && view->second.active >= active.revision)
+        const auto progress = followers_.find(instance);
+        if (progress != followers_.end() &&
+            progress->second.active >= active.revision)
           continue;
         outputs_.push_back(SendToInstance{instance, message});
       }
@@ -270,31 +274,33 @@
   outputs_.push_back(Propose{ConfirmEntry{active}});
 }
 
-void ChangeCoordinator::SettleWaiters(Time now) {
-  std::erase_if(waiters_, [&](Waiter& waiter) { return Settle(&waiter, now); });
+void ChangeCoordinator::AnswerPendingSubmissions(Time now) {
+  std::erase_if(pending_submissions_, [&](PendingSubmission& pending) {
+    return TryAnswer(&pending, now);
+  });
 }
 
-bool ChangeCoordinator::Settle(Waiter* waiter, Time now) {
-  const ChangeRecord* record = state_->FindRecord(waiter->id);
+bool ChangeCoordinator::TryAnswer(PendingSubmission* pending, Time now) {
+  const ChangeRecord* record = state_->FindRecord(pending->id);
   if (record == nullptr) return false;
-  if (record->text != waiter->text) {
-    Refuse(waiter->submission, "change id", kOtherText);
+  if (record->text != pending->text) {
+    Refuse(pending->submission, "change id", kOtherText);
     return true;
   }
   if (record->state == ChangeState::kStaged) return false;
   const bool is_final =
       record->state != ChangeState::kActive || record->answer.in_force;
   if (is_final) {
-    Answer(waiter->submission, record->answer);
+    Answer(pending->submission, record->answer);
     return true;
   }
-  if (!waiter->deadline) waiter->deadline = now + ChangeTimeout();
-  if (now < *waiter->deadline) return false;
+  if (!pending->deadline) pending->deadline = now + ChangeTimeout();
+  if (now < *pending->deadline) return false;
   ChangeAnswer answer = record->answer;
   answer.findings = DescribeMissing(
       MissingRevision(answer.revision, now),
       fmt::format("revision {} is not confirmed by", answer.revision.value()));
-  Answer(waiter->submission, std::move(answer));
+  Answer(pending->submission, std::move(answer));
   return true;
 }
 
@@ -310,30 +316,30 @@
   Answer(submission, std::move(answer));
 }
 
-ChangeCoordinator::FollowerView* ChangeCoordinator::ViewOf(
+ChangeCoordinator::FollowerProgress* ChangeCoordinator::ProgressOf(
     const InstanceId& instance, Incarnation incarnation) {
-  FollowerView& view = followers_[instance];
-  if (incarnation < view.incarnation) return nullptr;
-  if (incarnation > view.incarnation) {
+  FollowerProgress& progress = followers_[instance];
+  if (incarnation < progress.incarnation) return nullptr;
+  if (incarnation > progress.incarnation) {
     // A restarted instance holds nothing; the lease of its former run still
     // counts.
-    FollowerView fresh;
-    fresh.data_centre = view.data_centre;
-    fresh.incarnation = incarnation;
-    fresh.lease_until = view.lease_until;
-    view = fresh;
+    FollowerProgress restarted;
+    restarted.data_centre = progress.data_centre;
+    restarted.incarnation = incarnation;
+    restarted.lease_until = progress.lease_until;
+    progress = restarted;
   }
-  return &view;
+  return &progress;
 }
 
-void ChangeCoordinator::GrantLease(FollowerView* view, Activate* answer,
+void ChangeCoordinator::GrantLease(FollowerProgress* progress, Activate* answer,
                                    Time now) const {
   if (!quorum_contact_) return;
   const Duration rest = *quorum_contact_ + options_.lease - now;
   if (rest <= Duration(0)) return;
   answer->lease = rest;
   const Time until = now + rest + rest / kClockDriftDivisor;
-  view->lease_until = std::max(view->lease_until, until);
+  progress->lease_until = std::max(progress->lease_until, until);
 }
 
 std::set<InstanceId> ChangeCoordinator::RequiredInstances(
@@ -341,10 +347,10 @@
   std::set<InstanceId> required;
   const auto live = members_.find(data_centre);
   if (live != members_.end()) required = live->second;
-  for (const auto& [instance, view] : followers_) {
-    if (view.data_centre != data_centre) continue;
+  for (const auto& [instance, progress] : followers_) {
+    if (progress.data_centre != data_centre) continue;
     // Membership may have lost sight of it while it still serves.
-    if (view.lease_until > now) required.insert(instance);
+    if (progress.lease_until > now) required.insert(instance);
   }
   return required;
 }
@@ -373,8 +379,9 @@
     const auto live = members_.find(data_centre);
     if (live == members_.end() || live->second.empty()) missing[data_centre];
     for (const InstanceId& instance : RequiredInstances(data_centre, now)) {
-      const auto view = followers_.find(instance);
-      if (view != followers_.end() && acknowledged(view->second)) continue;
+      const auto progress = followers_.find(instance);
+      if (progress != followers_.end() && acknowledged(progress->second))
+        continue;
       missing[data_centre].push_back(instance);
     }
   }
@@ -383,24 +390,25 @@
 
 ChangeCoordinator::Missing ChangeCoordinator::MissingStage(
     const StagedChange& staged, Time now) const {
-  return FindMissing(*staged.result, now, [&](const FollowerView& view) {
-    return view.staged_index == staged.index;
-  });
+  return FindMissing(*staged.result, now,
+                     [&](const FollowerProgress& progress) {
+                       return progress.staged_index == staged.index;
+                     });
 }
 
 ChangeCoordinator::Missing ChangeCoordinator::MissingRevision(Revision revision,
                                                               Time now) const {
-  const auto runs_it = [&](const FollowerView& view) {
-    return view.has_configuration && view.active >= revision;
+  const auto runs_it = [&](const FollowerProgress& progress) {
+    return progress.has_configuration && progress.active >= revision;
   };
   Missing missing = FindMissing(*state_->active(), now, runs_it);
   // A lease promises that nothing newer is in force, in excluded data centres
   // too; without contact it ends by itself.
   const auto& excluded = state_->active()->excluded_data_centres;
-  for (const auto& [instance, view] : followers_) {
-    if (!excluded.contains(view.data_centre)) continue;
-    if (view.lease_until <= now || runs_it(view)) continue;
-    missing[view.data_centre].push_back(instance);
+  for (const auto& [instance, progress] : followers_) {
+    if (!excluded.contains(progress.data_centre)) continue;
+    if (progress.lease_until <= now || runs_it(progress)) continue;
+    missing[progress.data_centre].push_back(instance);
   }
   return missing;
 }
--- a/servers/configuration/change_coordinator.h
+++ b/servers/configuration/change_coordinator.h
@@ -1,6 +1,6 @@
-// Brings changes into force: on the leader of the replicated log, stages each
-// change at every instance, activates or aborts it through the log, and answers
-// once every data centre runs it.
+// Rolls out changes on the leader of the replicated log: stages each change at
+// every instance, activates or aborts it through the log, and answers once
+// every data centre runs it or the change timeout has passed.
 #ifndef SERVERS_CONFIGURATION_CHANGE_COORDINATOR_H_
 #define SERVERS_CONFIGURATION_CHANGE_COORDINATOR_H_
 
@@ -23,19 +23,19 @@
 namespace cassiausher {
 
 struct CoordinatorOptions {
-  /// An instance that has heard nothing for this long knows that the active
-  /// configuration may have passed it by. Below the change timeout of 2 s, so
+  /// Length of the configuration lease of an instance; once it expires, the
+  /// instance may have missed changes. Below the change timeout of 2 s, so
   /// that an instance that dies during a change doesn't abort it.
   Duration lease = Milliseconds(1500);
-  /// Between two sends of the same Stage or Activate.
+  /// Interval between two sends of the same Stage or Activate.
   Duration retry_interval = Milliseconds(200);
-  /// A proposal that wasn't applied by then is proposed again.
+  /// A proposal that isn't applied within this time is proposed again.
   Duration proposal_retry = Seconds(1);
-  /// Changes that may wait for the one in progress.
-  std::size_t waiting_changes = 256;
+  /// Submissions that may await an answer; further ones are abandoned.
+  std::size_t max_pending_submissions = 256;
 };
 
-/// Live instances of each data centre, as membership sees them.
+/// Live instances of each data centre according to membership.
 using LiveMembers = std::map<DataCentreId, std::set<InstanceId>>;
 
 struct SendToInstance {
@@ -49,7 +49,8 @@
   std::uint64_t submission = 0;
   ChangeAnswer answer;
 };
-/// The outcome isn't known here; the operator sends the same id again.
+/// Ends a submission whose outcome is unknown here; the operator retries with
+/// the same change id.
 struct AbandonSubmission {
   std::uint64_t submission = 0;
   std::string reason;
@@ -58,10 +59,10 @@
 using CoordinatorOutput =
     std::variant<SendToInstance, Propose, AnswerSubmission, AbandonSubmission>;
 
-/// Not thread safe; the control task owns it. It decides from the replicated
-/// state, so that a new leader continues where the log ends: a staged change
-/// is activated or aborted by whichever entry is committed first, and the
-/// state ignores the other.
+/// Not thread safe; the control task owns it. Its decisions derive from the
+/// replicated state, so that a new leader continues where the log ends: a
+/// staged change is activated or aborted by whichever entry is committed
+/// first, and the state ignores the other.
 class ChangeCoordinator {
  public:
   /// `state` outlives the coordinator. The owner applies committed entries to
@@ -71,53 +72,53 @@
 
   /// Call once the leader has applied an entry of its own term.
   void BecomeLeader(Time now);
-  /// Waiting submissions are lost; a staged change is left to the next leader.
+  /// Abandons pending submissions; leaves a staged change to the next leader.
   void StepDown();
-  /// A majority of voters confirmed a heartbeat sent at `sent_at`. Leases end
-  /// at most `lease` after it, so that those of a deposed leader have ended
-  /// once a new leader has led for as long.
+  /// A majority of voters confirmed a heartbeat sent at `sent_at`. Leases
+  /// expire at most `lease` after it, so that those of a deposed leader have
+  /// expired once a new leader has led for as long, plus clock drift.
   void OnQuorumContact(Time sent_at);
   void SetMembers(LiveMembers members, Time now);
 
-  /// `submission` names the call in the outputs. The permission to make the
-  /// change has been checked.
+  /// `submission` identifies the call in the outputs. The permission to make
+  /// the change must have been checked before.
   void Submit(std::uint64_t submission, const Change& change, Time now);
 
   void OnFollow(const Follow& follow, Time now);
   void OnStaged(const Staged& staged, Time now);
   void OnActivated(const Activated& activated, Time now);
   void OnApplied(const Applied& applied, Time now);
-  /// Every 50 ms or less while leading.
+  /// Call at least every 50 ms while leading.
   void Tick(Time now);
 
   std::vector<CoordinatorOutput> TakeOutputs();
 
   bool leading() const { return leading_; }
-  /// Lowest revision that an instance of the data centre has confirmed, or
-  /// nothing if none of its live instances is known.
+  /// Lowest active revision that a live instance of the data centre has
+  /// reported, or nothing if none has reported.
   std::optional<Revision> RevisionOf(const DataCentreId& data_centre) const;
 
  private:
-  /// What is known of an instance; acknowledgements of one incarnation only
-  /// grow.
-  struct FollowerView {
+  /// Last reported state of an instance. Within an incarnation, revision and
+  /// index never decrease.
+  struct FollowerProgress {
     DataCentreId data_centre;
     Incarnation incarnation{0};
     bool has_configuration = false;
     Revision active{0};
     std::uint64_t staged_index = 0;
-    /// End of the last lease granted, on this process's clock.
+    /// Expiry of the last lease granted, on this process's clock.
     Time lease_until{};
   };
-  struct Waiter {
+  struct PendingSubmission {
     std::uint64_t submission = 0;
     ChangeId id;
     TextHash text;
-    /// Set once the change is active: when the answer is given although a data
-    /// centre hasn't confirmed.
+    /// Set once the change is active: when it is answered as not in force if a
+    /// data centre still hasn't confirmed it.
     std::optional<Time> deadline;
   };
-  /// The staged change that is being brought to all instances.
+  /// Distribution of the staged change to all instances.
   struct Attempt {
     std::uint64_t stage_index = 0;
     Time deadline{};
@@ -126,8 +127,8 @@
     std::optional<StateEntry> decision;
     Time next_proposal{};
   };
-  /// Instances that lack something, by data centre. An empty list: the data
-  /// centre has no live instance.
+  /// Instances without an acknowledgement, by data centre. An empty list means
+  /// that the data centre has no live instance.
   using Missing = std::map<DataCentreId, std::vector<InstanceId>>;
 
   void Advance(Time now);
@@ -136,14 +137,16 @@
   void Decide(StateEntry decision, Time now);
   void DriveActivation(Time now);
   void ProposeConfirmation(Time now);
-  void SettleWaiters(Time now);
-  /// Returns false if the waiter goes on waiting.
-  bool Settle(Waiter* waiter, Time now);
+  void AnswerPendingSubmissions(Time now);
+  /// Returns false if the submission can't be answered yet.
+  bool TryAnswer(PendingSubmission* pending, Time now);
   void Answer(std::uint64_t submission, ChangeAnswer answer);
   void Refuse(std::uint64_t submission, std::string place, std::string message);
 
-  FollowerView* ViewOf(const InstanceId& instance, Incarnation incarnation);
-  void GrantLease(FollowerView* view, Activate* answer, Time now) const;
+  /// Null if the message comes from an earlier incarnation.
+  FollowerProgress* ProgressOf(const InstanceId& instance,
+                               Incarnation incarnation);
+  void GrantLease(FollowerProgress* progress, Activate* answer, Time now) const;
   std::set<InstanceId> RequiredInstances(const DataCentreId& data_centre,
                                          Time now) const;
   std::set<DataCentreId> RequiredDataCentres(
@@ -165,14 +168,14 @@
   Time leading_since_{};
   std::optional<Time> quorum_contact_;
   LiveMembers members_;
-  std::map<InstanceId, FollowerView> followers_;
-  /// Changes that aren't staged yet, each id once.
+  std::map<InstanceId, FollowerProgress> followers_;
+  /// Changes that aren't staged yet, without duplicate ids.
   std::deque<Change> queue_;
   Time next_stage_proposal_{};
   std::optional<Attempt> attempt_;
   Time next_activate_send_{};
   Time next_confirm_proposal_{};
-  std::vector<Waiter> waiters_;
+  std::vector<PendingSubmission> pending_submissions_;
   std::vector<CoordinatorOutput> outputs_;
 };
 
--- a/servers/configuration/configuration.h
+++ b/servers/configuration/configuration.h
@@ -1,4 +1,4 @@
-// The replicated data that operators change: services, classes, client
+// The replicated configuration that operators change: services, classes, client
 // accounts, data centres, voters and limits.
 #ifndef SERVERS_CONFIGURATION_CONFIGURATION_H_
 #define SERVERS_CONFIGURATION_CONFIGURATION_H_
@@ -26,20 +26,20 @@
   /// Classes that callers may name; `default_class` is one of them.
   std::vector<ClassId> classes;
   ClassId default_class;
-  /// Default for requests that don't say it.
+  /// Default for requests that don't state it.
   bool idempotent = true;
   /// Weight of the service's pools on the link of their data centre.
   double link_share = 1.0;
-  /// Longest wait for a place before the request is refused.
+  /// How long a request may queue before it is refused.
   Duration admission_deadline = Seconds(10);
   /// Prompts up to this length may be prefilled on the decode engine.
   Tokens local_prefill_limit{256};
   /// How long a prefill engine keeps a result.
   Duration kv_retention = Milliseconds(800);
-  /// 0 favours goodput, 1 favours little wasted prefill.
+  /// 0 maximises goodput, 1 minimises wasted prefill.
   double prefill_thrift = 0.5;
-  /// False: endpoints ignore fencing numbers, so a new pool owner waits the
-  /// old lease out.
+  /// False: endpoints ignore fencing numbers, so a new pool owner waits until
+  /// the old lease has expired.
   bool honours_fencing = true;
   Tokens max_prompt_tokens{65536};
 
@@ -65,7 +65,7 @@
 };
 
 struct DataCentreSettings {
-  /// Takes requests that instances of other data centres forward.
+  /// Accepts requests forwarded by instances of other data centres.
   bool accepts_forwarded = true;
   /// Typical delay to another data centre.
   Duration one_way_delay = Milliseconds(1);
@@ -87,18 +87,18 @@
   int open_requests = 20000;
   /// How long the ledger keeps a finished record.
   Duration ledger_retention = Seconds(24 * 3600);
-  /// Of a larger answer only the status is recorded.
+  /// Only the status of a larger answer is recorded.
   Bytes ledger_answer_bytes{64 << 10};
   int ledger_records = 50000;
-  /// All recorded answers together.
+  /// Total size of the recorded answers.
   Bytes ledger_bytes{24 << 20};
-  /// A change that isn't acknowledged everywhere by then is aborted.
+  /// A change that isn't acknowledged everywhere within this time is aborted.
   Duration change_timeout = Seconds(2);
 
   bool operator==(const LimitSettings&) const = default;
 };
 
-/// One revision of the configuration. A value; the replicated state holds it.
+/// One revision of the configuration; ReplicatedState holds the active one.
 struct Configuration {
   Revision revision{0};
   std::map<ServiceId, ServiceSettings> services;
@@ -119,9 +119,9 @@
 std::string_view NameOf(ServiceKind kind);
 std::string_view NameOf(AdminRole role);
 
-/// A reference that doesn't resolve or a value that conflicts with another.
+/// An unresolved reference or a value that conflicts with another.
 struct Conflict {
-  /// JSON pointer of the value at fault.
+  /// JSON pointer of the invalid value.
   std::string pointer;
   /// JSON pointer of the object that the value refers to; may be empty.
   std::string related;
@@ -132,8 +132,8 @@
 std::vector<Conflict> FindConflicts(const Configuration& configuration);
 
 nlohmann::json ToJson(const Configuration& configuration);
-/// Reads and validates the whole; reports every finding at once, each with
-/// its JSON pointer. Unknown keys are findings.
+/// Parses and validates the whole configuration; reports all findings at once,
+/// each with its JSON pointer. Unknown keys are findings.
 std::variant<Configuration, Findings> ConfigurationFromJson(
     const nlohmann::json& json);
 
--- a/servers/configuration/configuration_follower.cc
+++ b/servers/configuration/configuration_follower.cc
@@ -100,7 +100,7 @@
   const bool is_staged = staged_ && staged_->index == activate.stage_index &&
                          staged_hash_ == activate.hash;
   const ConfigurationPointer next =
-      is_staged ? staged_->result : ApplyMissing(activate);
+      is_staged ? staged_->result : BuildConfiguration(activate);
   if (next == nullptr) return false;
   if (!is_staged && HashOf(*next) != activate.hash) {
     wants_snapshot_ = true;
@@ -110,7 +110,7 @@
   return true;
 }
 
-ConfigurationPointer ConfigurationFollower::ApplyMissing(
+ConfigurationPointer ConfigurationFollower::BuildConfiguration(
     const Activate& activate) const {
   if (!activate.snapshot.empty()) {
     auto read = ConfigurationFromBytes(activate.snapshot);
--- a/servers/configuration/configuration_follower.h
+++ b/servers/configuration/configuration_follower.h
@@ -20,13 +20,13 @@
 struct FollowerOptions {
   InstanceId instance;
   DataCentreId data_centre;
-  /// Grows at each start of the process.
+  /// Increases with each start of the process.
   Incarnation incarnation{0};
-  /// A third of the lease, so that one lost message doesn't end it.
+  /// A third of the lease, so that it outlasts one lost message.
   Duration follow_interval = Milliseconds(500);
 };
 
-/// To the leader of the replicated log, or to a voter that passes it on.
+/// To the leader of the replicated log, or to a voter that forwards it.
 struct SendFollow {
   Follow follow;
 };
@@ -43,20 +43,20 @@
  public:
   explicit ConfigurationFollower(FollowerOptions options);
 
-  /// Sends Follow when it is due. Call it every 50 ms or less.
+  /// Sends Follow when it is due. Call at least every 50 ms.
   void Tick(Time now);
   /// `from` gets the acknowledgement.
   void OnStage(const InstanceId& from, const Stage& stage, Time now);
   void OnActivate(const InstanceId& from, const Activate& activate, Time now);
-  /// For instances with a disk: takes a committed configuration from the local
-  /// copy of the log. Does nothing if it isn't newer.
+  /// For instances that store the log: activates the committed configuration
+  /// of the local replica. Does nothing if it isn't newer.
   void Adopt(const ReplicatedState& state);
 
-  /// Null until the first configuration arrived. The revision never falls.
+  /// Null until the first configuration arrives. The revision never decreases.
   const ConfigurationPointer& active() const { return active_; }
   bool has_staged() const { return staged_.has_value(); }
-  /// While valid, no revision above the active one is said to be in force.
-  /// Without it, the instance may have missed changes.
+  /// While the lease is valid, no revision above the active one is reported as
+  /// in force. Without it, the instance may have missed changes.
   bool LeaseValid(Time now) const {
     return active_ != nullptr && now < lease_until_;
   }
@@ -74,7 +74,9 @@
   void Acknowledge(const InstanceId& to);
   /// Returns true once the active revision is that of the message.
   bool CatchUp(const Activate& activate);
-  ConfigurationPointer ApplyMissing(const Activate& activate) const;
+  /// From the snapshot or the changes of the message; null if neither yields
+  /// its revision.
+  ConfigurationPointer BuildConfiguration(const Activate& activate) const;
   void SetActive(ConfigurationPointer configuration, std::uint64_t hash,
                  std::uint64_t stage_index);
   void RenewLease(const Activate& activate);
@@ -82,17 +84,17 @@
   FollowerOptions options_;
   ConfigurationPointer active_;
   std::uint64_t active_hash_ = 0;
-  /// Stages up to this index are decided.
+  /// Stage entries up to this index are activated or aborted.
   std::uint64_t active_stage_index_ = 0;
   /// Applies to the active revision; its index is above active_stage_index_.
   std::optional<StagedChange> staged_;
   std::uint64_t staged_hash_ = 0;
-  /// The changes lead to another result here; only a snapshot helps.
+  /// Applying the changes here gave another result, so a snapshot is needed.
   bool wants_snapshot_ = false;
   Time lease_until_{};
   Time next_follow_{};
   std::uint64_t sequence_ = 0;
-  /// Last Follow messages, to count leases from when they were sent.
+  /// Recent Follow messages; a lease counts from the send time of its Follow.
   std::deque<SentFollow> sent_;
   std::vector<FollowerOutput> outputs_;
 };
--- a/servers/configuration/configuration_messages.h
+++ b/servers/configuration/configuration_messages.h
@@ -1,5 +1,5 @@
-// The messages that bring changes to every instance, and the protobuf forms of
-// changes and records.
+// The messages that distribute changes to every instance, and the protobuf
+// encodings of changes and records.
 #ifndef SERVERS_CONFIGURATION_CONFIGURATION_MESSAGES_H_
 #define SERVERS_CONFIGURATION_CONFIGURATION_MESSAGES_H_
 
@@ -24,13 +24,13 @@
 class StateChangeRecord;
 }  // namespace proto
 
-/// From every instance to the leader, at an interval; asks for a lease and for
-/// what it is missing.
+/// Sent periodically by every instance to the leader; requests a lease and the
+/// changes that the instance lacks.
 struct Follow {
   InstanceId instance;
   DataCentreId data_centre;
   Incarnation incarnation{0};
-  /// Grows with each message of one incarnation.
+  /// Increases with each message of one incarnation.
   std::uint64_t sequence = 0;
   bool has_configuration = false;
   Revision active{0};
@@ -41,7 +41,7 @@
   bool operator==(const Follow&) const = default;
 };
 
-/// From the leader: hold this change ready.
+/// From the leader: prepare this change for activation.
 struct Stage {
   /// Log index of the stage entry. Two attempts at the same revision have
   /// different indexes.
@@ -64,23 +64,23 @@
   bool operator==(const Staged&) const = default;
 };
 
-/// From the leader: run this revision. Answers Follow as well.
+/// From the leader: activate this revision. Also the reply to Follow.
 struct Activate {
   Revision revision{0};
   std::uint64_t stage_index = 0;
-  /// Of the configuration at `revision`.
+  /// Hash of the configuration at `revision`.
   std::uint64_t hash = 0;
-  /// Sequence of the Follow that this answers; 0 if it answers none.
+  /// Sequence of the Follow that this replies to; 0 if to none.
   std::uint64_t follow_sequence = 0;
-  /// Of its sender: sequences start again with each run of an instance, and an
-  /// answer to the former run must not renew a lease of this one.
+  /// Incarnation of its sender. Sequences restart with each incarnation, and a
+  /// reply to an earlier one must not renew a lease of the current one.
   Incarnation follow_incarnation{0};
-  /// Counted from when that Follow was sent.
+  /// Lease duration, counted from when that Follow was sent.
   Duration lease{0};
   /// Changes up to `revision`, oldest first; may start before the receiver's
   /// revision.
   std::vector<Change> changes;
-  /// The configuration as JSON; empty when the changes suffice.
+  /// The configuration as JSON; empty if the changes suffice.
   std::string snapshot;
 
   bool operator==(const Activate&) const = default;
@@ -98,16 +98,16 @@
 using ConfigurationMessage =
     std::variant<Follow, Stage, Staged, Activate, Activated>;
 
-/// For `Envelope.configuration`.
+/// Payload of `Envelope.configuration`.
 std::string EncodeMessage(const ConfigurationMessage& message);
 std::variant<ConfigurationMessage, Findings> DecodeMessage(
     std::string_view bytes);
 
-/// Answer of a voter that isn't the leader: what the follower is missing, and
-/// no lease.
+/// Reply to a Follow with what the follower lacks and no lease. A voter that
+/// isn't the leader sends it as it is; the leader adds a lease.
 Activate AnswerFollow(const ReplicatedState& state, const Follow& follow);
 
-/// Parses JSON text and validates it as a whole.
+/// Parses JSON text and validates the whole configuration.
 std::variant<Configuration, Findings> ConfigurationFromBytes(
     std::string_view bytes);
 
--- a/servers/configuration/field_table.h
+++ b/servers/configuration/field_table.h
@@ -1,6 +1,6 @@
 // One table for each kind of object: its fields, their kinds and their ranges.
 // JSON, `set` operations, `show` rows, help and completion all use it, so that
-// a field has one name and one check everywhere.
+// a field has the same name and validation everywhere.
 #ifndef SERVERS_CONFIGURATION_FIELD_TABLE_H_
 #define SERVERS_CONFIGURATION_FIELD_TABLE_H_
 
@@ -18,11 +18,11 @@
 struct Field {
   std::string_view name;
   ValueKind kind;
-  /// Accepted values, for messages and help.
+  /// Accepted values, for error messages and help.
   std::string range;
   std::function<Value(const Object&)> read;
-  /// Returns false, and leaves the object as it is, if the value is out of
-  /// range. The value is of `kind`.
+  /// Returns false, and leaves the object unchanged, if the value is out of
+  /// range. The value must be of `kind`.
   std::function<bool(Object&, const Value&)> write;
 };
 
@@ -39,8 +39,8 @@
   return nullptr;
 }
 
-/// Returns a message if the value has the wrong kind or is out of range, and
-/// an empty string once it is written.
+/// Returns an error message if the value has the wrong kind or is out of
+/// range, and an empty string on success.
 template <typename Object>
 std::string WriteField(const Field<Object>& field, const Value& value,
                        Object* object) {
--- a/servers/configuration/replicated_state.cc
+++ b/servers/configuration/replicated_state.cc
@@ -151,7 +151,7 @@
   // The coordinator refuses such ids before it proposes a change.
   if (id_bytes == 0 || id_bytes > kMaxChangeIdBytes) return {};
   if (FindRecord(change.id) != nullptr) {
-    return {.kind = AppliedKind::kRepeated, .id = change.id};
+    return {.kind = AppliedKind::kDuplicate, .id = change.id};
   }
   if (staged_) return {.kind = AppliedKind::kBusy, .id = change.id};
   const Findings findings = CheckRevision(change, *active_);
@@ -184,7 +184,7 @@
   active_hash_ = staged_hash_;
   active_stage_index_ = staged_->index;
   recent_changes_.push_back(std::move(staged_->change));
-  if (recent_changes_.size() > options_.recent_changes) {
+  if (recent_changes_.size() > options_.max_recent_changes) {
     recent_changes_.pop_front();
   }
   staged_.reset();
@@ -223,7 +223,8 @@
   record_order_.push_back(record.id);
   records_[record.id] = std::move(record);
   // The newest record may be staged; those that are evicted never are.
-  while (record_order_.size() > std::max<std::size_t>(options_.records, 1)) {
+  while (record_order_.size() >
+         std::max<std::size_t>(options_.max_records, 1)) {
     records_.erase(record_order_.front());
     record_order_.pop_front();
   }
--- a/servers/configuration/replicated_state.h
+++ b/servers/configuration/replicated_state.h
@@ -1,6 +1,6 @@
-// The state machine that the replicated log drives: the active configuration,
-// the staged change, the answers to recorded change ids and the ledger. Every
-// replica that applied the same entries holds the same state.
+// The state machine on top of the replicated log: the active configuration, the
+// staged change, the answers to recorded change ids and the ledger. Replicas
+// that applied the same entries hold the same state.
 #ifndef SERVERS_CONFIGURATION_REPLICATED_STATE_H_
 #define SERVERS_CONFIGURATION_REPLICATED_STATE_H_
 
@@ -28,7 +28,7 @@
 
 /// Hash of the JSON form; equal on all instances for equal configurations.
 std::uint64_t HashOf(const Configuration& configuration);
-/// The JSON form as text. Names that aren't UTF-8 are replaced, not thrown.
+/// The JSON form as text. Invalid UTF-8 in names is replaced and doesn't throw.
 std::string DumpConfiguration(const Configuration& configuration);
 
 /// Proposes a change. Committed refusals are recorded as well, so that a
@@ -54,11 +54,11 @@
 using StateEntry = std::variant<StageEntry, ActivateEntry, AbortEntry,
                                 ConfirmEntry, LedgerEntry>;
 
-/// The form in which the log carries entries.
+/// Protobuf encoding of the entries in the log.
 std::string EncodeStateEntry(const StateEntry& entry);
 std::variant<StateEntry, Findings> DecodeStateEntry(std::string_view bytes);
 
-/// Answer to an operator, as the admin API gives it.
+/// Outcome of a change, as the admin API returns it to the operator.
 struct ChangeAnswer {
   bool accepted = false;
   /// Revision after the change, or the active one at the refusal.
@@ -78,7 +78,7 @@
 };
 std::string_view NameOf(ChangeState state);
 
-/// 128 bits of the change's text: two texts of one id don't collide in
+/// 128-bit hash of the change's text: two texts of one id don't collide in
 /// practice, and the record stays small.
 struct TextHash {
   std::uint64_t low = 0;
@@ -92,8 +92,8 @@
   ChangeId id;
   TextHash text;
   ChangeState state = ChangeState::kStaged;
-  /// Final once `state` is not kStaged, but for `in_force`, which turns from
-  /// false to true once.
+  /// Final once `state` is not kStaged, except that `in_force` may change once
+  /// from false to true.
   ChangeAnswer answer;
 };
 
@@ -103,12 +103,12 @@
   ConfigurationPointer result;
 };
 
-/// What the application of an entry did.
+/// Effect of applying an entry.
 enum class AppliedKind {
-  kNothing,  ///< Overtaken by an earlier entry.
+  kIgnored,  ///< Superseded by an earlier entry, or invalid.
   kStaged,
-  kBusy,      ///< Another change is staged; not recorded.
-  kRepeated,  ///< The id is recorded; its record answers.
+  kBusy,       ///< Another change is staged; not recorded.
+  kDuplicate,  ///< The id is recorded; its record has the answer.
   kRefused,
   kActivated,
   kAborted,
@@ -117,20 +117,20 @@
 };
 
 struct Applied {
-  AppliedKind kind = AppliedKind::kNothing;
-  /// Of the change concerned.
+  AppliedKind kind = AppliedKind::kIgnored;
+  /// Id of the affected change.
   ChangeId id;
   /// Answer to a ledger claim.
   LedgerAnswer ledger;
 };
 
 struct ReplicatedStateOptions {
-  /// Change ids remembered with their answers. At the aim of 390 changes a day
-  /// this is 64 days.
-  std::size_t records = 25000;
-  /// Active changes kept for instances that are a little behind; others get
-  /// the whole configuration.
-  std::size_t recent_changes = 64;
+  /// Change ids kept with their answers: 64 days at the target of 390 changes
+  /// a day.
+  std::size_t max_records = 25000;
+  /// Activated changes kept for instances that lag slightly; others get a
+  /// snapshot of the configuration.
+  std::size_t max_recent_changes = 64;
 };
 
 /// Longer ids are refused; bounds the memory of a record.
@@ -143,17 +143,18 @@
  public:
   explicit ReplicatedState(ReplicatedStateOptions options = {});
 
-  /// Applies the committed entry at `index`. Each index is above the one
-  /// before; gaps are entries of the log that carry no state.
+  /// Applies the committed entry at `index`. Indexes strictly increase; gaps
+  /// are log entries that carry no state.
   Applied Apply(std::uint64_t index, const StateEntry& entry);
-  /// The same for the bytes in the log. Findings leave the state as it is.
+  /// The same for an encoded entry. Returns findings and leaves the state
+  /// unchanged if the bytes are invalid.
   std::variant<Applied, Findings> ApplyBytes(std::uint64_t index,
                                              std::string_view bytes);
 
-  /// Never null. Its revision never falls.
+  /// Never null. Its revision never decreases.
   const ConfigurationPointer& active() const { return active_; }
   std::uint64_t active_hash() const;
-  /// Of the staged change's result; something is staged.
+  /// Hash of the staged change's result; requires a staged change.
   std::uint64_t staged_hash() const;
   /// Log index of the stage entry that led to the active configuration.
   std::uint64_t active_stage_index() const { return active_stage_index_; }
@@ -174,7 +175,8 @@
   const Ledger& ledger() const { return ledger_; }
 
   std::string Snapshot() const;
-  /// Replaces the state. Findings leave it as it is.
+  /// Replaces the state. Returns findings and leaves it unchanged if the
+  /// snapshot is invalid.
   Findings Restore(std::string_view snapshot);
 
  private:
@@ -189,7 +191,7 @@
   ReplicatedStateOptions options_;
   std::uint64_t applied_index_ = 0;
   ConfigurationPointer active_;
-  /// Computed when first asked for: a replay of the log at start needs none.
+  /// Computed on first use: replaying the log at startup needs no hashes.
   mutable std::optional<std::uint64_t> active_hash_;
   mutable std::optional<std::uint64_t> staged_hash_;
   std::uint64_t active_stage_index_ = 0;
--- a/servers/configuration/value.h
+++ b/servers/configuration/value.h
@@ -1,4 +1,4 @@
-// A typed value as it appears in statements, settings of objects and rows.
+// Typed values of statements, object settings and rows.
 #ifndef SERVERS_CONFIGURATION_VALUE_H_
 #define SERVERS_CONFIGURATION_VALUE_H_
 
@@ -29,20 +29,21 @@
 
 ValueKind KindOf(const Value& value);
 
-/// For messages: "a duration such as 200ms".
+/// For error messages and help: "a duration such as 200ms".
 std::string_view DescribeKind(ValueKind kind);
 
-/// Converts to `kind` without loss (an integer is also a number), or nothing.
+/// Returns the value as `kind`, or nothing if it is of another kind. An integer
+/// is also a number.
 std::optional<Value> ConvertValue(const Value& value, ValueKind kind);
 
-/// A duration is written as `NAME_ms`, everything else as `NAME`.
+/// JSON key of a field: `NAME_ms` for a duration, else `NAME`.
 std::string JsonName(std::string_view name, ValueKind kind);
 /// A duration becomes a number of milliseconds.
 nlohmann::json ValueToJson(const Value& value);
-/// Nothing if `json` isn't of this kind.
+/// Returns nothing if `json` isn't of this kind.
 std::optional<Value> ValueFromJson(const nlohmann::json& json, ValueKind kind);
 
-/// For tables read by people: durations as "12.5ms", lists with commas.
+/// For human-readable tables: durations as "12.5ms", lists with commas.
 std::string FormatValue(const Value& value);
 
 }  // namespace cassiausher
--- a/tests/configuration/admission_gate_test.cc
+++ b/tests/configuration/admission_gate_test.cc
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr AdmissionFacts kLeased{true, true, true};
-constexpr AdmissionFacts kUnleased{true, false, true};
-constexpr AdmissionFacts kAlone{true, false, false};
+constexpr AdmissionInputs kLeased{true, true, true};
+constexpr AdmissionInputs kUnleased{true, false, true};
+constexpr AdmissionInputs kAlone{true, false, false};
 
 struct Gate {
   /// Updates every 50 ms for `duration`.
-  AdmissionState After(Duration duration, const AdmissionFacts& facts) {
+  AdmissionState After(Duration duration, const AdmissionInputs& inputs) {
     for (const Time end = now + duration; now < end;) {
-      gate.Update(facts, now += Milliseconds(50));
+      gate.Update(inputs, now += Milliseconds(50));
     }
     return gate.state();
   }
@@ -37,9 +37,9 @@
   CHECK(gate.After(Seconds(1), kLeased) == AdmissionState::kCurrent);
   // The lease ends before membership notices the cut.
   CHECK(gate.After(Seconds(1), kUnleased) == AdmissionState::kLeaderless);
-  CHECK(gate.After(Seconds(60), kAlone) == AdmissionState::kCutOff);
+  CHECK(gate.After(Seconds(60), kAlone) == AdmissionState::kPartitioned);
   CHECK(gate.gate.MayAdmit());
-  CHECK(gate.After(Seconds(4), kUnleased) == AdmissionState::kReturning);
+  CHECK(gate.After(Seconds(4), kUnleased) == AdmissionState::kRejoining);
   CHECK(!gate.gate.MayAdmit());
   CHECK(gate.After(Milliseconds(50), kLeased) == AdmissionState::kCurrent);
   CHECK(gate.gate.MayAdmit());
@@ -49,10 +49,10 @@
   Gate gate;
   gate.After(Seconds(1), kLeased);
   gate.now += Seconds(100);
-  CHECK(gate.After(Milliseconds(50), kUnleased) == AdmissionState::kReturning);
+  CHECK(gate.After(Milliseconds(50), kUnleased) == AdmissionState::kRejoining);
   // Its first failed probes look like a cut.
-  CHECK(gate.After(Seconds(1), kAlone) == AdmissionState::kReturning);
-  CHECK(gate.After(Seconds(5), kAlone) == AdmissionState::kCutOff);
+  CHECK(gate.After(Seconds(1), kAlone) == AdmissionState::kRejoining);
+  CHECK(gate.After(Seconds(5), kAlone) == AdmissionState::kPartitioned);
 }
 
 TEST(AdmissionGate, DeploymentWithoutALeaderGoesOnServing) {
