--- a/tools/fake_endpoint/announcer.cc
+++ b/tools/fake_endpoint/announcer.cc
@@ -22,19 +22,20 @@
 }  // namespace
 
 Announcer::Announcer(const EndpointOptions& options, Timers& timers,
-                     SoupSession* client, std::function<EndpointLoad()> load)
+                     SoupSession* client,
+                     std::function<EndpointLoad()> get_load)
     : options_(options),
       timers_(timers),
       client_(client),
-      stopping_(g_cancellable_new()),
-      load_(std::move(load)),
+      cancellable_(g_cancellable_new()),
+      get_load_(std::move(get_load)),
       random_(options.seed),
       models_({options.service}),
       incarnation_(static_cast<std::uint64_t>(g_get_real_time())) {}
 
-Announcer::~Announcer() { g_object_unref(stopping_); }
+Announcer::~Announcer() { g_object_unref(cancellable_); }
 
-void Announcer::Stop() { g_cancellable_cancel(stopping_); }
+void Announcer::Stop() { g_cancellable_cancel(cancellable_); }
 
 void Announcer::Start(std::string url) {
   url_ = std::move(url);
@@ -54,7 +55,7 @@
 }
 
 void Announcer::TakeLoadSample() {
-  load_samples_.push_back({Timers::Now(), load_()});
+  load_samples_.push_back({Timers::Now(), get_load_()});
   const std::int64_t oldest =
       Timers::Now() - options_.load_lag_ms * kMicrosPerMilli;
   // Keeps one sample that is at least as old as the lag.
@@ -65,7 +66,7 @@
                    [this] { TakeLoadSample(); });
 }
 
-json Announcer::Announcement() {
+json Announcer::BuildAnnouncement() {
   const std::int64_t now = Timers::Now();
   const auto& [at_us, load] = load_samples_.front();
   json events = json::array();
@@ -112,7 +113,7 @@
 void Announcer::Announce(std::size_t attempt) {
   const std::vector<std::string>& urls = options_.announce_urls;
   if (urls.empty() || attempt >= urls.size()) return;
-  const std::size_t index = (preferred_instance_ + attempt) % urls.size();
+  const std::size_t index = (preferred_url_index_ + attempt) % urls.size();
   SoupMessage* message =
       soup_message_new("POST", (urls[index] + "/announce").c_str());
   if (message == nullptr) return Announce(attempt + 1);
@@ -128,7 +129,7 @@
       g_free(content);
     }
   }
-  const std::string body = Announcement().dump();
+  const std::string body = BuildAnnouncement().dump();
   GBytes* bytes = g_bytes_new(body.data(), body.size());
   soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   g_bytes_unref(bytes);
@@ -138,7 +139,7 @@
     std::size_t index;
   };
   soup_session_send_and_read_async(
-      client_, message, G_PRIORITY_DEFAULT, stopping_,
+      client_, message, G_PRIORITY_DEFAULT, cancellable_,
       [](GObject* source, GAsyncResult* result, gpointer data) {
         const std::unique_ptr<Attempt> sent(static_cast<Attempt*>(data));
         SoupSession* client = SOUP_SESSION(source);
@@ -157,7 +158,7 @@
         if (cancelled) return;
         Announcer* self = sent->self;
         if (accepted) {
-          self->preferred_instance_ = sent->index;
+          self->preferred_url_index_ = sent->index;
           ++self->accepted_;
           return;
         }
--- a/tools/fake_endpoint/announcer.h
+++ b/tools/fake_endpoint/announcer.h
@@ -1,5 +1,6 @@
-// Announces a stand-in to the instances of its data centre, with load reports
-// that lag and cache events that are late and have gaps.
+// Announces a fake endpoint to the instances of its data centre. Load reports
+// are out of date by a configured lag; cache events are delayed and some are
+// lost, which leaves gaps in their sequence numbers.
 #ifndef TOOLS_FAKE_ENDPOINT_ANNOUNCER_H_
 #define TOOLS_FAKE_ENDPOINT_ANNOUNCER_H_
 
@@ -18,7 +19,7 @@
 
 namespace cassiausher {
 
-/// Load at one moment.
+/// Snapshot of an endpoint's load.
 struct EndpointLoad {
   std::int64_t running = 0;
   std::int64_t waiting = 0;
@@ -26,27 +27,31 @@
   std::int64_t kv_bytes = 0;
 };
 
-/// Used on the thread of its timers. `options`, `timers` and `client` outlive
-/// it; the options' role and fencing may change.
+/// Not thread-safe: call it on the thread that runs `timers`. `options`,
+/// `timers` and `client` must outlive it. The role and fencing in `options` may
+/// change while it runs; the next announcement contains the new values.
 class Announcer {
  public:
   Announcer(const EndpointOptions& options, Timers& timers, SoupSession* client,
-            std::function<EndpointLoad()> load);
+            std::function<EndpointLoad()> get_load);
   ~Announcer();
   Announcer(const Announcer&) = delete;
   Announcer& operator=(const Announcer&) = delete;
 
-  /// Announces `url` every second from now on.
+  /// Announces `url` at once and then every second.
   void Start(std::string url);
-  /// Ends announcing. The main context must take a turn before the object is
-  /// deleted.
+  /// Cancels the requests in progress. Iterate the main context before deleting
+  /// the object, so that their callbacks have run.
   void Stop();
-  /// Announces a change at once.
+  /// Sends an announcement without waiting for the next period.
   void AnnounceNow() { Announce(0); }
   void AddModel(std::string model) { models_.push_back(std::move(model)); }
+  /// Queues a prefix cache event. It is announced after a delay, or lost at
+  /// random.
   void AddCacheEvent(bool stored, std::uint64_t prefix_hash);
   void set_departing() { departing_ = true; }
 
+  /// Number of announcements that an instance answered with status 200.
   std::int64_t accepted() const { return accepted_; }
   std::uint64_t incarnation() const { return incarnation_; }
 
@@ -63,23 +68,24 @@
   };
 
   void TakeLoadSample();
-  nlohmann::json Announcement();
+  nlohmann::json BuildAnnouncement();
   void AnnounceEverySecond();
-  /// Tries the URL that worked last, then `attempt` further ones.
+  /// Sends an announcement to the URL that is `attempt` places after the last
+  /// one that accepted; on failure it tries the next, up to all URLs once.
   void Announce(std::size_t attempt);
 
   const EndpointOptions& options_;
   Timers& timers_;
   SoupSession* client_;
-  GCancellable* stopping_;
-  std::function<EndpointLoad()> load_;
+  GCancellable* cancellable_;
+  std::function<EndpointLoad()> get_load_;
   Random random_;
   std::string url_;
   std::vector<std::string> models_;
   std::uint64_t incarnation_;
   bool departing_ = false;
   std::uint64_t sequence_ = 0;
-  std::size_t preferred_instance_ = 0;
+  std::size_t preferred_url_index_ = 0;
   std::int64_t accepted_ = 0;
   std::deque<LoadSample> load_samples_;
   std::uint64_t cache_sequence_ = 0;
--- a/tools/fake_endpoint/answer_text.cc
+++ b/tools/fake_endpoint/answer_text.cc
@@ -13,7 +13,7 @@
   return static_cast<std::uint32_t>(XXH3_64bits(text.data(), text.size()));
 }
 
-std::string PromptOf(const nlohmann::json& body) {
+std::string ExtractPrompt(const nlohmann::json& body) {
   if (!body.is_object()) return {};
   const auto prompt = body.find("prompt");
   if (prompt != body.end() && prompt->is_string()) {
@@ -35,13 +35,14 @@
   return static_cast<std::int64_t>((prompt.size() + 3) / 4);
 }
 
-std::int64_t AnswerLength(std::uint32_t prompt_hash, std::int64_t typical,
+std::int64_t AnswerLength(std::uint32_t prompt_hash,
+                          std::int64_t typical_tokens,
                           std::int64_t max_tokens) {
   constexpr std::int64_t kSteps = 1000;
   // The factor in thousandths, from 500 to 1,499.
   const std::int64_t factor = kSteps / 2 + prompt_hash % kSteps;
   const std::int64_t length =
-      std::max<std::int64_t>(1, typical * factor / kSteps);
+      std::max<std::int64_t>(1, typical_tokens * factor / kSteps);
   return max_tokens > 0 ? std::min(length, max_tokens) : length;
 }
 
--- a/tools/fake_endpoint/answer_text.h
+++ b/tools/fake_endpoint/answer_text.h
@@ -1,5 +1,6 @@
-// The stand-in's answers as a function of the prompt alone, so that a checker
-// recognises a lost, doubled, mixed or cut answer without the prompt's text.
+// Generates the fake endpoint's answers from the prompt alone, so that a
+// checker detects a lost, duplicated, mixed or truncated answer without storing
+// the prompt.
 #ifndef TOOLS_FAKE_ENDPOINT_ANSWER_TEXT_H_
 #define TOOLS_FAKE_ENDPOINT_ANSWER_TEXT_H_
 
@@ -10,21 +11,22 @@
 
 namespace cassiausher {
 
-/// 32 bits of the XXH3 hash of a prompt or of a plain call's body.
+/// Lower 32 bits of the XXH3 hash of a prompt, or of the body of a request to a
+/// plain service.
 std::uint32_t TextHash(std::string_view text);
 
-/// "prompt" of a completion, or the joined contents of the messages of a chat
-/// completion. Empty when the body has neither.
-std::string PromptOf(const nlohmann::json& body);
+/// Returns "prompt" of a completion request, or the concatenated message
+/// contents of a chat completion request. Empty when the body has neither.
+std::string ExtractPrompt(const nlohmann::json& body);
 
-/// Characters / 4, rounded up.
+/// Estimates a token as four bytes, rounded up.
 std::int64_t EstimateTokens(std::string_view prompt);
 
-/// Length of the answer in tokens. It varies between half of and one and a
-/// half times `typical` by the prompt's hash alone, so that all engines of a
-/// pool agree on it. `max_tokens` 0 means no limit.
-std::int64_t AnswerLength(std::uint32_t prompt_hash, std::int64_t typical,
-                          std::int64_t max_tokens);
+/// Returns the length of the answer in tokens, between 0.5 and 1.5 times
+/// `typical_tokens`. It depends on the prompt's hash alone, so that all engines
+/// of a pool generate the same length. `max_tokens` 0 means no limit.
+std::int64_t AnswerLength(std::uint32_t prompt_hash,
+                          std::int64_t typical_tokens, std::int64_t max_tokens);
 
 /// Appends token `n` of `total`, counted from 1: "t<hash>-<n> ". The last one
 /// ends with '.' instead of the space.
--- a/tools/fake_endpoint/endpoint_faults.h
+++ b/tools/fake_endpoint/endpoint_faults.h
@@ -9,7 +9,7 @@
 
 namespace cassiausher {
 
-/// Faults that last. Rates are probabilities.
+/// Faults that stay active until they are changed. Rates are probabilities.
 struct EndpointFaults {
   std::int64_t stall_until_us = 0;
   double error_rate = 0;
@@ -20,7 +20,7 @@
   std::int64_t die_after_tokens = -1;
 };
 
-/// What one call changes.
+/// Result of one POST /fake/fault request.
 struct FaultChange {
   EndpointFaults faults;
   bool silence = false;
@@ -29,7 +29,7 @@
 };
 
 /// Applies the object `body` to `change`. Returns the names of the fields that
-/// are unknown or out of range; empty when all are right.
+/// are unknown or out of range, or an empty string when all are valid.
 std::string ParseFaults(const nlohmann::json& body, std::int64_t now_us,
                         FaultChange* change);
 
--- a/tools/fake_endpoint/fake_endpoint.cc
+++ b/tools/fake_endpoint/fake_endpoint.cc
@@ -263,7 +263,7 @@
 
 json FakeEndpoint::State() const {
   json executions = json::object();
-  for (const auto& [key, count] : executions_) executions[key] = count;
+  for (const auto& [key, count] : execution_counts_) executions[key] = count;
   return {{"name", options_.name},
           {"service", options_.service},
           {"role", RoleName(options_.role)},
@@ -275,7 +275,7 @@
           {"orders", orders_},
           {"departing", departing_},
           {"new_work_since_departing", new_work_since_departing_},
-          {"new_work_2s_after_departing", new_work_late_},
+          {"new_work_2s_after_departing", new_work_after_grace_},
           {"announcements_accepted", announcer_->accepted()}};
 }
 
@@ -314,13 +314,13 @@
 }
 
 bool FakeEndpoint::CheckEpoch(const std::string& pool, std::uint64_t epoch) {
-  std::uint64_t& seen = epochs_[pool];
+  std::uint64_t& seen = highest_epochs_[pool];
   const bool stale = epoch < seen;
   seen = std::max(seen, epoch);
   return !stale || !options_.honours_fencing;
 }
 
-bool FakeEndpoint::RefusedByEpoch(const Call& call) {
+bool FakeEndpoint::RejectStaleEpoch(const Call& call) {
   if (call.epoch.empty()) return false;
   if (CheckEpoch(call.pool, ParseNumber(call.epoch))) return false;
   call.reply->SendError(409, "stale_epoch",
@@ -331,7 +331,8 @@
 void FakeEndpoint::CountNewWork() {
   if (!departing_) return;
   ++new_work_since_departing_;
-  if (Timers::Now() - departing_since_us_ > kDepartureGraceUs) ++new_work_late_;
+  if (Timers::Now() - departing_since_us_ > kDepartureGraceUs)
+    ++new_work_after_grace_;
 }
 
 void FakeEndpoint::OnEngineCall(const Call& call, bool chat) {
@@ -339,7 +340,7 @@
   if (!body.is_object()) {
     return call.reply->SendError(400, "invalid_body", "body is no JSON object");
   }
-  if (RefusedByEpoch(call)) return;
+  if (RejectStaleEpoch(call)) return;
   if (!call.last_event.empty()) {
     if (Resume(call, call.request_id,
                static_cast<std::int64_t>(ParseNumber(call.last_event)))) {
@@ -366,7 +367,7 @@
   session->queue_key = {IntegerIn(body, "priority", 0), next_session_++};
   session->chat = chat;
   session->stream = FlagIn(body, "stream");
-  session->prompt = PromptOf(body);
+  session->prompt = ExtractPrompt(body);
   session->prompt_hash = TextHash(session->prompt);
   session->prompt_tokens = EstimateTokens(session->prompt);
   session->resumed_at = std::max<std::int64_t>(
@@ -385,14 +386,14 @@
       session->kv_transfer = *transfer;
   }
   sessions_.emplace(session->id, session);
-  by_request_.emplace(session->request_id, session);
-  CloseOnClientLoss(session);
+  sessions_by_request_id_.emplace(session->request_id, session);
+  ReleaseOnDisconnect(session);
   if (session->for_remote_decode) return QueuePrefill(session);
   slot_queue_.emplace(session->queue_key, session);
-  StartQueued();
+  AssignSlots();
 }
 
-void FakeEndpoint::CloseOnClientLoss(const SessionPtr& session) {
+void FakeEndpoint::ReleaseOnDisconnect(const SessionPtr& session) {
   session->reply->set_on_closed([this, weak = std::weak_ptr<Session>(session)] {
     if (const SessionPtr lost = weak.lock()) Release(lost);
   });
@@ -401,11 +402,11 @@
 bool FakeEndpoint::Resume(const Call& call, const std::string& request_id,
                           std::int64_t last_event) {
   SessionPtr session;
-  const auto held = by_request_.find(request_id);
-  if (held != by_request_.end()) session = held->second;
+  const auto held = sessions_by_request_id_.find(request_id);
+  if (held != sessions_by_request_id_.end()) session = held->second;
   if (!session) {
-    const auto finished = finished_.find(request_id);
-    if (finished != finished_.end()) session = finished->second;
+    const auto finished = finished_sessions_.find(request_id);
+    if (finished != finished_sessions_.end()) session = finished->second;
   }
   if (!session || !session->stream || session->for_remote_decode) return false;
   if (last_event < session->resumed_at || last_event > session->produced) {
@@ -420,14 +421,14 @@
   session->sent = last_event;
   session->finish_sent = false;
   session->late_chunk.clear();
-  if (!session->released) CloseOnClientLoss(session);
+  if (!session->released) ReleaseOnDisconnect(session);
   call.reply->BeginStream();
   WriteTokens(*session);
   if (session->released) session->reply.reset();
   return true;
 }
 
-void FakeEndpoint::StartQueued() {
+void FakeEndpoint::AssignSlots() {
   while (slots_used_ < options_.slots && !slot_queue_.empty()) {
     const SessionPtr session = slot_queue_.begin()->second;
     slot_queue_.erase(slot_queue_.begin());
@@ -508,10 +509,10 @@
 
 void FakeEndpoint::QueuePrefill(const SessionPtr& session) {
   prefill_queue_.emplace(session->queue_key, session);
-  StartPrefill();
+  StartNextPrefill();
 }
 
-void FakeEndpoint::StartPrefill() {
+void FakeEndpoint::StartNextPrefill() {
   while (!prefilling_ && !prefill_queue_.empty()) {
     const SessionPtr session = prefill_queue_.begin()->second;
     prefill_queue_.erase(prefill_queue_.begin());
@@ -526,7 +527,7 @@
       AfterStall([this, session] {
         if (session->released) return;
         OnPrefilled(session);
-        StartPrefill();
+        StartNextPrefill();
       });
     });
   }
@@ -537,7 +538,7 @@
   session->phase = Phase::kPrefill;
   session->kv_bytes = session->prompt_tokens * options_.kv_bytes_per_token;
   held_kv_bytes_ += session->kv_bytes;
-  session->cached_tokens = LookUpPrefixes(session->prompt);
+  session->cached_tokens = LookUpAndCachePrefixes(session->prompt);
   session->prompt.clear();
   session->prompt.shrink_to_fit();
   const double seconds =
@@ -589,22 +590,22 @@
   session->reply.reset();
 }
 
-std::int64_t FakeEndpoint::LookUpPrefixes(std::string_view prompt) {
+std::int64_t FakeEndpoint::LookUpAndCachePrefixes(std::string_view prompt) {
   std::int64_t cached = 0;
   for (std::size_t length = kSmallestPrefix; length <= prompt.size();
        length *= 2) {
     const std::uint64_t hash = XXH3_64bits(prompt.data(), length);
-    if (!prefixes_.insert(hash).second) {
+    if (!cached_prefixes_.insert(hash).second) {
       cached = static_cast<std::int64_t>(length / kCharactersPerToken);
       continue;
     }
-    prefix_order_.push_back(hash);
+    prefix_insertion_order_.push_back(hash);
     announcer_->AddCacheEvent(true, hash);
   }
-  while (prefix_order_.size() > kPrefixLimit) {
-    prefixes_.erase(prefix_order_.front());
-    announcer_->AddCacheEvent(false, prefix_order_.front());
-    prefix_order_.pop_front();
+  while (prefix_insertion_order_.size() > kPrefixLimit) {
+    cached_prefixes_.erase(prefix_insertion_order_.front());
+    announcer_->AddCacheEvent(false, prefix_insertion_order_.front());
+    prefix_insertion_order_.pop_front();
   }
   return cached;
 }
@@ -621,7 +622,7 @@
   timers_.Cancel(session->timer);
   session->phase = Phase::kExporting;
   session->reply = call.reply;
-  CloseOnClientLoss(session);
+  ReleaseOnDisconnect(session);
   const double seconds =
       static_cast<double>(session->kv_bytes) / options_.link_bytes_per_second;
   link_free_at_us_ = std::max(link_free_at_us_, Timers::Now()) +
@@ -641,13 +642,13 @@
   session->phase = Phase::kDecode;
   if (session->stream) session->reply->BeginStream();
   decoding_.push_back(session);
-  ArmStep();
+  ScheduleStep();
   if (faults_.stall_until_us <= Timers::Now()) Generate(session, 1);
 }
 
-void FakeEndpoint::ArmStep() {
-  if (step_armed_ || decoding_.empty()) return;
-  step_armed_ = true;
+void FakeEndpoint::ScheduleStep() {
+  if (step_scheduled_ || decoding_.empty()) return;
+  step_scheduled_ = true;
   const std::int64_t now = Timers::Now();
   next_step_at_us_ = std::max(now + options_.step_ms * kMicrosPerMilli,
                               faults_.stall_until_us);
@@ -655,9 +656,9 @@
 }
 
 void FakeEndpoint::Step() {
-  step_armed_ = false;
+  step_scheduled_ = false;
   const std::int64_t now = Timers::Now();
-  if (now < faults_.stall_until_us) return ArmStep();
+  if (now < faults_.stall_until_us) return ScheduleStep();
   const std::int64_t step_us = options_.step_ms * kMicrosPerMilli;
   // Steps that a late timer missed are made up.
   const std::int64_t count =
@@ -666,17 +667,17 @@
   for (const SessionPtr& session : batch) {
     if (!session->released) Generate(session, count);
   }
-  if (step_armed_ || decoding_.empty()) return;
-  step_armed_ = true;
+  if (step_scheduled_ || decoding_.empty()) return;
+  step_scheduled_ = true;
   next_step_at_us_ += step_us == 0 ? now - next_step_at_us_ : count * step_us;
   timers_.Schedule(next_step_at_us_, [this] { Step(); });
 }
 
 void FakeEndpoint::Generate(const SessionPtr& session, std::int64_t count) {
-  if (session->reply->unwritten() > kUnwrittenLimit) return;
+  if (session->reply->unwritten_bytes() > kUnwrittenLimit) return;
   if (!session->counted) {
     session->counted = true;
-    ++executions_[session->execution_key];
+    ++execution_counts_[session->execution_key];
   }
   session->produced = std::min(session->produced + count, session->total);
   if (session->stream) WriteTokens(*session);
@@ -787,11 +788,11 @@
   session->reply.reset();
   Release(session);
   if (!session->stream) return;
-  finished_[session->request_id] = session;
+  finished_sessions_[session->request_id] = session;
   timers_.Schedule(Timers::Now() + kFinishedRetentionUs, [this, session] {
-    const auto found = finished_.find(session->request_id);
-    if (found != finished_.end() && found->second == session) {
-      finished_.erase(found);
+    const auto found = finished_sessions_.find(session->request_id);
+    if (found != finished_sessions_.end() && found->second == session) {
+      finished_sessions_.erase(found);
     }
   });
 }
@@ -805,10 +806,11 @@
     g_clear_object(&session->import);
   }
   sessions_.erase(session->id);
-  const auto [first, last] = by_request_.equal_range(session->request_id);
+  const auto [first, last] =
+      sessions_by_request_id_.equal_range(session->request_id);
   for (auto it = first; it != last; ++it) {
     if (it->second != session) continue;
-    by_request_.erase(it);
+    sessions_by_request_id_.erase(it);
     break;
   }
   slot_queue_.erase(session->queue_key);
@@ -822,8 +824,8 @@
   if (session->holds_slot) --slots_used_;
   // Later, since a caller of Release may be going through the queues.
   timers_.Schedule(Timers::Now(), [this] {
-    StartPrefill();
-    StartQueued();
+    StartNextPrefill();
+    AssignSlots();
   });
 }
 
@@ -842,7 +844,7 @@
                                  "cancels are refused by a fault");
   }
   std::vector<SessionPtr> held;
-  const auto [first, last] = by_request_.equal_range(request_id);
+  const auto [first, last] = sessions_by_request_id_.equal_range(request_id);
   for (auto it = first; it != last; ++it) held.push_back(it->second);
   if (held.empty()) {
     return call.reply->SendError(404, "session_not_found", "nothing is held");
@@ -916,10 +918,10 @@
     announcer_->AddModel(TextIn(body, "model"));
   }
   if (order == "evict_prefixes") {
-    for (const std::uint64_t hash : prefix_order_)
+    for (const std::uint64_t hash : prefix_insertion_order_)
       announcer_->AddCacheEvent(false, hash);
-    prefix_order_.clear();
-    prefixes_.clear();
+    prefix_insertion_order_.clear();
+    cached_prefixes_.clear();
   }
   call.reply->Send(200, json({{"accepted", true}}).dump());
   announcer_->AnnounceNow();
@@ -950,14 +952,14 @@
 }
 
 void FakeEndpoint::OnPlainCall(const Call& call) {
-  if (RefusedByEpoch(call)) return;
+  if (RejectStaleEpoch(call)) return;
   CountNewWork();
   if (faults_.error_rate > 0 && random_.Chance(faults_.error_rate)) {
     return call.reply->SendError(500, "service_error",
                                  "error caused by a fault");
   }
   const std::int64_t execution =
-      ++executions_[ExecutionKey(call.key, call.request_id)];
+      ++execution_counts_[ExecutionKey(call.key, call.request_id)];
   ++plain_running_;
   const std::string answer =
       json({{"service", options_.service},
--- a/tools/fake_endpoint/hangup_watcher.cc
+++ b/tools/fake_endpoint/hangup_watcher.cc
@@ -23,16 +23,16 @@
   g_source_unref(source);
 }
 
-void HangupWatcher::Watch(int fd, std::function<void()> closed) {
+void HangupWatcher::Watch(int fd, std::function<void()> on_closed) {
   epoll_event event{};
   event.events = EPOLLRDHUP | EPOLLONESHOT;
   event.data.fd = fd;
   if (epoll_ctl(epoll_fd_, EPOLL_CTL_ADD, fd, &event) == 0) {
-    watched_[fd] = std::move(closed);
+    watched_[fd] = std::move(on_closed);
   }
 }
 
-void HangupWatcher::Forget(int fd) {
+void HangupWatcher::Unwatch(int fd) {
   if (watched_.erase(fd) == 0) return;
   epoll_ctl(epoll_fd_, EPOLL_CTL_DEL, fd, nullptr);
 }
@@ -45,8 +45,8 @@
     const auto found = watched_.find(events[i].data.fd);
     if (found == watched_.end()) continue;
     // A copy, since the callback may forget the connection.
-    const std::function<void()> closed = found->second;
-    closed();
+    const std::function<void()> on_closed = found->second;
+    on_closed();
   }
 }
 
--- a/tools/fake_endpoint/hangup_watcher.h
+++ b/tools/fake_endpoint/hangup_watcher.h
@@ -1,5 +1,5 @@
-// Reports clients that close their connections, with one event source for all
-// of them.
+// Reports clients that close their connections, using one GLib event source for
+// all connections.
 #ifndef TOOLS_FAKE_ENDPOINT_HANGUP_WATCHER_H_
 #define TOOLS_FAKE_ENDPOINT_HANGUP_WATCHER_H_
 
@@ -10,16 +10,18 @@
 
 namespace cassiausher {
 
-/// One source for each connection would make every turn of the main loop as
-/// expensive as there are open connections; epoll holds them outside of it.
-/// Used on the thread that made it first, with that thread's default context.
+/// With a GLib source per connection, each main loop iteration would take time
+/// linear in the number of open connections; epoll avoids that. Not
+/// thread-safe: use it on the thread that first called Instance(), whose
+/// thread-default main context runs the callbacks.
 class HangupWatcher {
  public:
   static HangupWatcher& Instance();
 
-  /// Calls `closed` once, when the peer of `fd` has closed.
-  void Watch(int fd, std::function<void()> closed);
-  void Forget(int fd);
+  /// Calls `on_closed` once, when the peer of `fd` closes its end.
+  void Watch(int fd, std::function<void()> on_closed);
+  /// Stops watching `fd`; does nothing when it is not watched.
+  void Unwatch(int fd);
 
  private:
   HangupWatcher();
--- a/tools/fake_endpoint/option_reader.cc
+++ b/tools/fake_endpoint/option_reader.cc
@@ -21,34 +21,33 @@
          found->second.asBool();
 }
 
-std::int64_t OptionReader::Integer(const std::string& name, std::int64_t lowest,
-                                   std::int64_t highest) {
+std::int64_t OptionReader::Integer(const std::string& name, std::int64_t min,
+                                   std::int64_t max) {
   const std::string text = Text(name);
   std::int64_t value = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc() && end == text.data() + text.size() &&
-      value >= lowest && value <= highest) {
+      value >= min && value <= max) {
     return value;
   }
-  AddFinding(name, fmt::format("'{}' is no integer from {} to {}", text, lowest,
-                               highest));
-  return lowest;
+  AddFinding(name,
+             fmt::format("'{}' is no integer from {} to {}", text, min, max));
+  return min;
 }
 
-double OptionReader::Number(const std::string& name, double lowest,
-                            double highest) {
+double OptionReader::Number(const std::string& name, double min, double max) {
   const std::string text = Text(name);
   double value = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc() && end == text.data() + text.size() &&
-      value >= lowest && value <= highest) {
+      value >= min && value <= max) {
     return value;
   }
-  AddFinding(name, fmt::format("'{}' is no number from {} to {}", text, lowest,
-                               highest));
-  return lowest;
+  AddFinding(name,
+             fmt::format("'{}' is no number from {} to {}", text, min, max));
+  return min;
 }
 
 std::string OptionReader::Required(const std::string& name) {
--- a/tools/fake_endpoint/option_reader.h
+++ b/tools/fake_endpoint/option_reader.h
@@ -1,5 +1,5 @@
-// Reads typed values from parsed command-line options and collects everything
-// that is out of range, so that one run names all faults.
+// Reads typed values from parsed command-line options and collects all invalid
+// ones, so that one run reports every error.
 #ifndef TOOLS_FAKE_ENDPOINT_OPTION_READER_H_
 #define TOOLS_FAKE_ENDPOINT_OPTION_READER_H_
 
@@ -23,13 +23,14 @@
   /// Empty when the option was not given and has no default.
   std::string Text(const std::string& name) const;
   bool Flag(const std::string& name) const;
-  /// A value outside [lowest, highest] becomes a finding and yields `lowest`.
-  std::int64_t Integer(const std::string& name, std::int64_t lowest,
-                       std::int64_t highest);
-  double Number(const std::string& name, double lowest, double highest);
-  /// Finding when the option is empty.
+  /// Adds a finding and returns `min` when the value is not a number in
+  /// [min, max].
+  std::int64_t Integer(const std::string& name, std::int64_t min,
+                       std::int64_t max);
+  double Number(const std::string& name, double min, double max);
+  /// Adds a finding when the option is empty.
   std::string Required(const std::string& name);
-  /// Finding when the value is none of `choices`.
+  /// Adds a finding when the value is not one of `choices`.
   std::string Choice(const std::string& name,
                      const std::vector<std::string>& choices);
 
@@ -37,7 +38,7 @@
     findings_.Add(name, std::move(message));
   }
   const Findings& findings() const { return findings_; }
-  /// Writes the findings to standard error, one a line.
+  /// Writes the findings to standard error, one per line.
   void PrintFindings() const;
 
  private:
@@ -45,10 +46,10 @@
   Findings findings_;
 };
 
-/// Splits at each `separator`; an empty text gives no parts.
+/// Splits at each `separator`; an empty text yields no parts.
 std::vector<std::string> Split(std::string_view text, char separator);
 
-/// Raises the soft limit of open files to the hard limit.
+/// Raises the soft limit on open file descriptors to the hard limit.
 void RaiseOpenFilesLimit();
 
 }  // namespace cassiausher
--- a/tools/fake_endpoint/reply.cc
+++ b/tools/fake_endpoint/reply.cc
@@ -54,10 +54,11 @@
         message_, signal, G_CALLBACK(+[](Reply* self) { self->OnFinished(); }),
         this);
   }
-  g_signal_connect_swapped(
-      message_, "wrote-body-data",
-      G_CALLBACK(+[](Reply* self, guint size) { self->unwritten_ -= size; }),
-      this);
+  g_signal_connect_swapped(message_, "wrote-body-data",
+                           G_CALLBACK(+[](Reply* self, guint size) {
+                             self->unwritten_bytes_ -= size;
+                           }),
+                           this);
   GSocket* socket = soup_server_message_get_socket(message_);
   if (socket == nullptr) return;
   socket_ = static_cast<GSocket*>(g_object_ref(socket));
@@ -98,7 +99,7 @@
 
 void Reply::Write(std::string data) {
   if (ended_ || finished_ || silent() || data.empty()) return;
-  unwritten_ += static_cast<std::int64_t>(data.size());
+  unwritten_bytes_ += static_cast<std::int64_t>(data.size());
   soup_message_body_append(soup_server_message_get_response_body(message_),
                            SOUP_MEMORY_COPY, data.data(), data.size());
   Unpause();
@@ -146,7 +147,7 @@
 
 void Reply::StopWatching() {
   if (watched_fd_ < 0) return;
-  HangupWatcher::Instance().Forget(watched_fd_);
+  HangupWatcher::Instance().Unwatch(watched_fd_);
   watched_fd_ = -1;
 }
 
--- a/tools/fake_endpoint/reply.h
+++ b/tools/fake_endpoint/reply.h
@@ -1,4 +1,5 @@
-// The answer to one HTTP call, written later than the call's handler returns.
+// Answer to one HTTP request, sent asynchronously after the request handler has
+// returned.
 #ifndef TOOLS_FAKE_ENDPOINT_REPLY_H_
 #define TOOLS_FAKE_ENDPOINT_REPLY_H_
 
@@ -11,8 +12,9 @@
 
 namespace cassiausher {
 
-/// Pauses the message until an answer is there and reports when the client
-/// closes its connection first. Deleted after the message finished.
+/// Pauses the libsoup message until the answer is available, and reports when
+/// the client closes the connection before that. It owns itself until the
+/// message is finished.
 class Reply : public std::enable_shared_from_this<Reply> {
  public:
   static std::shared_ptr<Reply> Create(SoupServerMessage* message);
@@ -20,28 +22,30 @@
   Reply(const Reply&) = delete;
   Reply& operator=(const Reply&) = delete;
 
-  /// Called at most once, when the client closed before the answer's end.
+  /// Called at most once, when the client closes the connection before the
+  /// answer is complete.
   void set_on_closed(std::function<void()> on_closed) {
     on_closed_ = std::move(on_closed);
   }
 
-  /// Whole answer.
+  /// Sends a complete JSON answer.
   void Send(unsigned status, const std::string& json);
-  /// `{"error":{…}}` of the endpoint protocol.
+  /// Sends the `{"error":{…}}` object of the endpoint protocol.
   void SendError(unsigned status, const std::string& code,
                  const std::string& message);
 
+  /// Starts a chunked text/event-stream answer.
   void BeginStream();
   void Write(std::string data);
-  /// Ends the body of a stream.
+  /// Completes the body of a stream.
   void End();
 
-  /// Bytes handed over and not yet written to the socket.
-  std::int64_t unwritten() const { return unwritten_; }
+  /// Bytes passed to libsoup but not yet written to the socket.
+  std::int64_t unwritten_bytes() const { return unwritten_bytes_; }
   bool ended() const { return ended_; }
-  /// True when the connection takes part in a silence fault.
+  /// True when a silence fault suppresses all output on the connection.
   bool silent() const;
-  /// Makes every open connection of this process silent for good.
+  /// Permanently suppresses output on every open connection of this process.
   static void SilenceOpenConnections();
 
  private:
@@ -55,15 +59,15 @@
 
   SoupServerMessage* message_;
   GSocket* socket_ = nullptr;
-  /// -1 when the connection is not watched any more.
+  /// -1 when the connection is not watched.
   int watched_fd_ = -1;
   std::function<void()> on_closed_;
-  std::int64_t unwritten_ = 0;
-  /// The answer is complete; only writing it out remains.
+  std::int64_t unwritten_bytes_ = 0;
+  /// The answer is complete, though possibly not yet written to the socket.
   bool ended_ = false;
-  /// libsoup is done with the message; it must not be touched any more.
+  /// libsoup has finished the message; it must not be modified any more.
   bool finished_ = false;
-  /// Keeps the object until the message finished.
+  /// Keeps the object alive until the message is finished.
   std::shared_ptr<Reply> self_;
 };
 
--- a/tools/fake_endpoint/timers.cc
+++ b/tools/fake_endpoint/timers.cc
@@ -15,7 +15,7 @@
                                    nullptr, nullptr, nullptr};
   source_ = g_source_new(&functions, sizeof(GSource));
   g_source_set_callback(
-      source_, &CallSource, new std::function<void()>([this] { RunDue(); }),
+      source_, &CallSource, new std::function<void()>([this] { RunExpired(); }),
       [](gpointer data) { delete static_cast<std::function<void()>*>(data); });
   g_source_attach(source_, context);
 }
@@ -28,12 +28,12 @@
 Timers::Id Timers::Schedule(std::int64_t at_us, std::function<void()> action) {
   const Id id{at_us, next_sequence_++};
   pending_.emplace(id, std::move(action));
-  Arm();
+  UpdateReadyTime();
   return id;
 }
 
 void Timers::Cancel(Id id) {
-  if (pending_.erase(id) > 0) Arm();
+  if (pending_.erase(id) > 0) UpdateReadyTime();
 }
 
 gboolean Timers::Dispatch(GSource* /*source*/, GSourceFunc callback,
@@ -41,7 +41,7 @@
   return callback(data);
 }
 
-void Timers::RunDue() {
+void Timers::RunExpired() {
   const std::int64_t now = Now();
   // Timers added by an action wait for the next turn, so that sockets are
   // served in between.
@@ -57,10 +57,10 @@
     action();
     next = pending_.begin();
   }
-  Arm();
+  UpdateReadyTime();
 }
 
-void Timers::Arm() {
+void Timers::UpdateReadyTime() {
   g_source_set_ready_time(
       source_, pending_.empty() ? -1 : pending_.begin()->first.first);
 }
--- a/tools/fake_endpoint/timers.h
+++ b/tools/fake_endpoint/timers.h
@@ -1,5 +1,5 @@
-// One-shot timers of a GLib main context with microsecond deadlines, held in
-// one event source.
+// One-shot timers with microsecond deadlines on a GLib main context, all driven
+// by one event source.
 #ifndef TOOLS_FAKE_ENDPOINT_TIMERS_H_
 #define TOOLS_FAKE_ENDPOINT_TIMERS_H_
 
@@ -12,10 +12,11 @@
 
 namespace cassiausher {
 
-/// Used on the thread of its context only. Times are g_get_monotonic_time().
+/// Not thread-safe: use it on the thread of its main context. Times are in
+/// microseconds of g_get_monotonic_time().
 class Timers {
  public:
-  /// Deadline and sequence number; a default value names no timer.
+  /// Deadline and sequence number; a value-initialised Id matches no timer.
   using Id = std::pair<std::int64_t, std::uint64_t>;
 
   explicit Timers(GMainContext* context);
@@ -24,7 +25,7 @@
   Timers& operator=(const Timers&) = delete;
 
   Id Schedule(std::int64_t at_us, std::function<void()> action);
-  /// Does nothing when the timer ran already.
+  /// Does nothing when the timer has already run.
   void Cancel(Id id);
 
   static std::int64_t Now() { return g_get_monotonic_time(); }
@@ -32,8 +33,10 @@
  private:
   static gboolean Dispatch(GSource* source, GSourceFunc callback,
                            gpointer data);
-  void RunDue();
-  void Arm();
+  /// Runs the timers whose deadline has passed.
+  void RunExpired();
+  /// Sets the source's ready time to the earliest deadline.
+  void UpdateReadyTime();
 
   GSource* source_;
   std::map<Id, std::function<void()>> pending_;
