--- a/servers/configuration/admission_gate.cc
+++ b/servers/configuration/admission_gate.cc
@@ -1,4 +1,4 @@
-// Transitions of the admission gate.
+// State transitions of the admission gate.
 #include "servers/configuration/admission_gate.h"
 
 namespace cassiausher {
@@ -17,24 +17,24 @@
                                         bool was_suspended, Time now) const {
   if (!inputs.has_configuration) return AdmissionState::kStarting;
   if (inputs.lease_valid) return AdmissionState::kCurrent;
-  // After a pause the view of the others is as old as the pause.
+  // After a suspension the membership view is outdated.
   if (was_suspended) return AdmissionState::kRejoining;
-  const bool is_waiting = state_ == AdmissionState::kRejoining;
-  const bool waits_too_long =
-      is_waiting && now - state_since_ >= options_.rejoin_timeout;
+  const bool is_rejoining = state_ == AdmissionState::kRejoining;
+  const bool has_timed_out =
+      is_rejoining && now - state_since_ >= options_.rejoin_timeout;
   if (!inputs.reaches_voter) {
-    // Membership may still be finding its peers again.
-    const bool may_be_finding = is_waiting && !waits_too_long;
-    return may_be_finding ? AdmissionState::kRejoining
-                          : AdmissionState::kPartitioned;
+    // Membership may still be rediscovering its peers.
+    const bool may_be_rediscovering = is_rejoining && !has_timed_out;
+    return may_be_rediscovering ? AdmissionState::kRejoining
+                                : AdmissionState::kPartitioned;
   }
   switch (state_) {
     case AdmissionState::kStarting:
     case AdmissionState::kPartitioned:
       return AdmissionState::kRejoining;
     case AdmissionState::kRejoining:
-      return waits_too_long ? AdmissionState::kLeaderless
-                            : AdmissionState::kRejoining;
+      return has_timed_out ? AdmissionState::kLeaderless
+                           : AdmissionState::kRejoining;
     case AdmissionState::kCurrent:
     case AdmissionState::kLeaderless:
       break;
--- a/servers/configuration/change.cc
+++ b/servers/configuration/change.cc
@@ -1,4 +1,4 @@
-// Application of a change and the permission to make it.
+// Applies changes and checks the permission to make them.
 #include "servers/configuration/change.h"
 
 #include <fmt/format.h>
@@ -43,7 +43,7 @@
     if (!message.empty()) {
       findings_.Add(FormatPlace(operation.place), message);
     }
-    Remember(operation);
+    RecordPlace(operation);
   }
 
   std::variant<Configuration, Findings> Finish(const Change& change) {
@@ -230,22 +230,22 @@
     return operation.field.empty() ? object : object + "/" + operation.field;
   }
 
-  void Remember(const Operation& operation) {
+  void RecordPlace(const Operation& operation) {
     places_[PointerOf(operation)] = operation.place;
     const bool excludes = operation.kind == OperationKind::kExclude;
     if (excludes) places_["/excluded_data_centres"] = operation.place;
   }
 
-  /// A conflict is reported at the last operation on the value at fault, else
-  /// on what it refers to, else at the start of the change.
+  /// A conflict is reported at the last operation on the invalid value, else on
+  /// the object that it refers to, else at the first operation of the change.
   std::string PlaceOf(const Conflict& conflict, const Change& change) const {
-    const auto touches = [](const std::string& pointer,
-                            const std::string& object) {
+    const auto is_within = [](const std::string& pointer,
+                              const std::string& object) {
       return pointer == object || pointer.starts_with(object + "/");
     };
     for (const std::string& pointer : {conflict.pointer, conflict.related}) {
       for (const auto& [object, place] : places_) {
-        if (touches(pointer, object)) return FormatPlace(place);
+        if (is_within(pointer, object)) return FormatPlace(place);
       }
     }
     return FormatPlace(change.operations.empty()
@@ -265,8 +265,8 @@
          account.team.end();
 }
 
-bool ClassInTeam(const ClientAccount& account, const ClassId& class_id,
-                 const Configuration& configuration) {
+bool IsUsedOnlyByTeam(const ClientAccount& account, const ClassId& class_id,
+                      const Configuration& configuration) {
   bool used = false;
   for (const auto& [id, service] : configuration.services) {
     const auto& classes = service.classes;
@@ -290,7 +290,7 @@
   }
   if (operation.kind != OperationKind::kSet) return false;
   if (operation.object == ObjectKind::kClass) {
-    return ClassInTeam(account, ClassId(operation.name), configuration);
+    return IsUsedOnlyByTeam(account, ClassId(operation.name), configuration);
   }
   if (operation.object != ObjectKind::kService) return false;
   const ServiceId service(operation.name);
@@ -298,7 +298,7 @@
   if (FindField<ClassTargets>(operation.field) == nullptr) return true;
   const auto found = configuration.services.find(service);
   return found != configuration.services.end() &&
-         ClassInTeam(account, found->second.default_class, configuration);
+         IsUsedOnlyByTeam(account, found->second.default_class, configuration);
 }
 
 }  // namespace
--- a/servers/configuration/change_coordinator.cc
+++ b/servers/configuration/change_coordinator.cc
@@ -10,10 +10,10 @@
 namespace cassiausher {
 namespace {
 
-// A follower's clock may run slower than the leader's by this much.
+// A follower's clock may run slower than the leader's by 1/20, that is 5 %.
 constexpr int kClockDriftDivisor = 20;
 
-constexpr const char* kOtherText =
+constexpr const char* kReusedIdMessage =
     "this id was used for a change with another text";
 
 Findings DescribeMissing(
@@ -89,7 +89,7 @@
       std::find_if(queue_.begin(), queue_.end(),
                    [&](const Change& other) { return other.id == change.id; });
   if (queued != queue_.end() && queued->text != change.text) {
-    Refuse(submission, "change id", kOtherText);
+    Refuse(submission, "change id", kReusedIdMessage);
     return;
   }
   PendingSubmission pending{submission, change.id, HashOfText(change.text),
@@ -223,14 +223,14 @@
   }
   if (now < attempt_->next_send) return;
   attempt_->next_send = now + options_.retry_interval;
-  // Instances of excluded data centres stage it as well if they are there, but
-  // nobody waits for them.
+  // Live instances of excluded data centres get it as well, but their
+  // acknowledgement isn't required.
   for (const auto& [data_centre, instances] : members_) {
     for (const InstanceId& instance : instances) {
       const auto progress = followers_.find(instance);
-      const bool has_it = progress != followers_.end() &&
-                          progress->second.staged_index == staged.index;
-      if (!has_it) SendStage(instance, staged);
+      const bool has_staged = progress != followers_.end() &&
+                              progress->second.staged_index == staged.index;
+      if (!has_staged) SendStage(instance, staged);
     }
   }
 }
@@ -264,7 +264,7 @@
 }
 
 void ChangeCoordinator::ProposeConfirmation(Time now) {
-  // Leases of the leader before this one may last that long.
+  // Leases granted by the previous leader may last that long.
   const Duration longest = options_.lease + options_.lease / kClockDriftDivisor;
   if (now < leading_since_ + longest) return;
   if (now < next_confirm_proposal_) return;
@@ -284,7 +284,7 @@
   const ChangeRecord* record = state_->FindRecord(pending->id);
   if (record == nullptr) return false;
   if (record->text != pending->text) {
-    Refuse(pending->submission, "change id", kOtherText);
+    Refuse(pending->submission, "change id", kReusedIdMessage);
     return true;
   }
   if (record->state == ChangeState::kStaged) return false;
@@ -321,8 +321,8 @@
   FollowerProgress& progress = followers_[instance];
   if (incarnation < progress.incarnation) return nullptr;
   if (incarnation > progress.incarnation) {
-    // A restarted instance holds nothing; the lease of its former run still
-    // counts.
+    // A restarted instance has lost its state, but the lease of its previous
+    // incarnation still counts.
     FollowerProgress restarted;
     restarted.data_centre = progress.data_centre;
     restarted.incarnation = incarnation;
@@ -335,10 +335,10 @@
 void ChangeCoordinator::GrantLease(FollowerProgress* progress, Activate* answer,
                                    Time now) const {
   if (!quorum_contact_) return;
-  const Duration rest = *quorum_contact_ + options_.lease - now;
-  if (rest <= Duration(0)) return;
-  answer->lease = rest;
-  const Time until = now + rest + rest / kClockDriftDivisor;
+  const Duration remaining = *quorum_contact_ + options_.lease - now;
+  if (remaining <= Duration(0)) return;
+  answer->lease = remaining;
+  const Time until = now + remaining + remaining / kClockDriftDivisor;
   progress->lease_until = std::max(progress->lease_until, until);
 }
 
@@ -349,7 +349,7 @@
   if (live != members_.end()) required = live->second;
   for (const auto& [instance, progress] : followers_) {
     if (progress.data_centre != data_centre) continue;
-    // Membership may have lost sight of it while it still serves.
+    // Membership may no longer list an instance that still serves.
     if (progress.lease_until > now) required.insert(instance);
   }
   return required;
@@ -402,8 +402,8 @@
     return progress.has_configuration && progress.active >= revision;
   };
   Missing missing = FindMissing(*state_->active(), now, runs_it);
-  // A lease promises that nothing newer is in force, in excluded data centres
-  // too; without contact it ends by itself.
+  // A lease guarantees that nothing newer is in force, in excluded data centres
+  // too; without contact it expires.
   const auto& excluded = state_->active()->excluded_data_centres;
   for (const auto& [instance, progress] : followers_) {
     if (!excluded.contains(progress.data_centre)) continue;
--- a/servers/configuration/configuration_follower.cc
+++ b/servers/configuration/configuration_follower.cc
@@ -1,4 +1,4 @@
-// Staging, activation and catching up at an instance.
+// Staging, activation and catch-up of an instance.
 #include "servers/configuration/configuration_follower.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace cassiausher {
 namespace {
 
-// Answers to older messages renew nothing; their leases are over.
+// Replies to older messages don't renew the lease; theirs has expired.
 constexpr std::size_t kRememberedFollows = 16;
 
 }  // namespace
@@ -123,10 +123,10 @@
   if (active_ == nullptr || count == 0) return nullptr;
   if (activate.revision.value() < count) return nullptr;
   Configuration next = *active_;
-  std::uint64_t leads_to = activate.revision.value() - count;
-  if (leads_to > next.revision.value()) return nullptr;
+  std::uint64_t change_revision = activate.revision.value() - count;
+  if (change_revision > next.revision.value()) return nullptr;
   for (const Change& change : activate.changes) {
-    if (++leads_to <= next.revision.value()) continue;
+    if (++change_revision <= next.revision.value()) continue;
     auto applied = ApplyChange(change, next);
     auto* result = std::get_if<Configuration>(&applied);
     if (result == nullptr) return nullptr;
@@ -140,11 +140,11 @@
                                       std::uint64_t stage_index) {
   CheckInvariant(
       active_ == nullptr || configuration->revision > active_->revision,
-      "the active revision of an instance never falls");
+      "the active revision of an instance never decreases");
   active_ = std::move(configuration);
   active_hash_ = hash;
   active_stage_index_ = std::max(active_stage_index_, stage_index);
-  // What is staged applied to the revision before.
+  // The staged change applied to the previous revision.
   staged_.reset();
   wants_snapshot_ = false;
   outputs_.emplace_back(ConfigurationChanged{active_});
--- a/servers/configuration/configuration_messages.cc
+++ b/servers/configuration/configuration_messages.cc
@@ -1,5 +1,6 @@
-// Conversions between values and protobuf messages. Numbers and alternatives
-// of incoming messages are checked here, names and ranges by ApplyChange().
+// Conversions between values and protobuf messages. Enum values and oneof
+// cases of incoming messages are checked here, names and ranges by
+// ApplyChange().
 #include "servers/configuration/configuration_messages.h"
 
 #include <fmt/format.h>
@@ -236,7 +237,7 @@
     if (!operation) {
       findings->Add(fmt::format("operation {} of change \"{}\"",
                                 change.operations.size() + 1, message.id()),
-                    "not an operation that this version knows");
+                    "not an operation that this version supports");
       return std::nullopt;
     }
     change.operations.push_back(std::move(*operation));
@@ -249,7 +250,7 @@
   message->set_text_hash_low(record.text.low);
   message->set_text_hash_high(record.text.high);
   message->set_state(static_cast<std::uint32_t>(record.state));
-  // `accepted` follows from the state.
+  // `accepted` isn't stored; it follows from the state.
   message->set_revision(record.answer.revision.value());
   message->set_in_force(record.answer.in_force);
   WriteFindings(record.answer.findings, message);
@@ -342,7 +343,8 @@
     case Message::ENTRY_NOT_SET:
       break;
   }
-  return Invalid(kEntryPlace, "the entry is of a kind this version lacks");
+  return Invalid(kEntryPlace,
+                 "the entry is of a kind that this version doesn't support");
 }
 
 Activate AnswerFollow(const ReplicatedState& state, const Follow& follow) {
--- a/servers/configuration/field_table.cc
+++ b/servers/configuration/field_table.cc
@@ -8,11 +8,11 @@
 namespace cassiausher {
 namespace {
 
-constexpr Duration kShortest = Milliseconds(1);
+constexpr Duration kMinDuration = Milliseconds(1);
 constexpr Duration kHour = Seconds(3600);
 constexpr std::int64_t kMaxTokens = 10'000'000;
 constexpr std::int64_t kMaxBytes = std::int64_t{1} << 30;
-constexpr std::size_t kTokenHashLength = 64;
+constexpr std::size_t kTokenHashDigits = 64;
 
 template <typename Object>
 Field<Object> BooleanField(std::string_view name, bool Object::*member) {
@@ -32,7 +32,7 @@
           [member](const Object& object) { return Value(object.*member); },
           [=](Object& object, const Value& value) {
             const double number = std::get<double>(value);
-            // Written so that a NaN is out of range.
+            // Negated so that a NaN is out of range.
             if (!(number >= lowest && number <= highest)) return false;
             object.*member = number;
             return true;
@@ -123,7 +123,7 @@
 }
 
 bool IsTokenHash(const std::string& text) {
-  return text.size() == kTokenHashLength &&
+  return text.size() == kTokenHashDigits &&
          text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
@@ -165,11 +165,11 @@
       DefaultClassField(),
       BooleanField("idempotent", &S::idempotent),
       NumberField("link_share", &S::link_share, 0.001, 1000),
-      DurationField("admission_deadline", &S::admission_deadline, kShortest,
+      DurationField("admission_deadline", &S::admission_deadline, kMinDuration,
                     kHour),
       IntegerField("local_prefill_limit", &S::local_prefill_limit, 0,
                    kMaxTokens),
-      DurationField("kv_retention", &S::kv_retention, kShortest, kHour),
+      DurationField("kv_retention", &S::kv_retention, kMinDuration, kHour),
       NumberField("prefill_thrift", &S::prefill_thrift, 0, 1),
       BooleanField("honours_fencing", &S::honours_fencing),
       IntegerField("max_prompt_tokens", &S::max_prompt_tokens, 1, kMaxTokens),
@@ -182,8 +182,8 @@
   using C = ClassTargets;
   static const std::vector<Field<C>> fields = {
       IntegerField("priority", &C::priority, 0, 1000),
-      DurationField("first_token", &C::first_token, kShortest, kHour),
-      DurationField("between_tokens", &C::between_tokens, kShortest, kHour),
+      DurationField("first_token", &C::first_token, kMinDuration, kHour),
+      DurationField("between_tokens", &C::between_tokens, kMinDuration, kHour),
   };
   return fields;
 }
--- a/servers/configuration/replicated_state.cc
+++ b/servers/configuration/replicated_state.cc
@@ -1,4 +1,4 @@
-// Application of committed entries, and the snapshot of the state.
+// Application of committed entries, and snapshots of the state.
 #include "servers/configuration/replicated_state.h"
 
 #include <fmt/format.h>
@@ -17,16 +17,16 @@
 
 constexpr const char* kAtRevision = "at revision";
 
-/// A record is kept for long; a change with many faults must not make it
-/// large.
-Findings Bounded(const Findings& findings) {
-  Findings bounded;
+/// Bounds the size of a record, which is kept for long, if a change has many
+/// findings.
+Findings TruncateFindings(const Findings& findings) {
+  Findings truncated;
   for (const Finding& finding : findings.items()) {
-    if (bounded.items().size() == kMaxRecordedFindings) break;
-    bounded.Add(finding.place.substr(0, kMaxFindingBytes),
-                finding.message.substr(0, kMaxFindingBytes));
+    if (truncated.items().size() == kMaxRecordedFindings) break;
+    truncated.Add(finding.place.substr(0, kMaxFindingBytes),
+                  finding.message.substr(0, kMaxFindingBytes));
   }
-  return bounded;
+  return truncated;
 }
 
 Findings CheckRevision(const Change& change, const Configuration& active) {
@@ -119,7 +119,7 @@
 }
 
 std::uint64_t ReplicatedState::staged_hash() const {
-  CheckInvariant(staged_.has_value(), "a hash is asked of a staged change");
+  CheckInvariant(staged_.has_value(), "staged_hash() requires a staged change");
   if (!staged_hash_) staged_hash_ = HashOf(*staged_->result);
   return *staged_hash_;
 }
@@ -172,14 +172,14 @@
   AddRecord({change.id,
              HashOfText(change.text),
              ChangeState::kRefused,
-             {false, active_->revision, false, Bounded(findings)}});
+             {false, active_->revision, false, TruncateFindings(findings)}});
   return {.kind = AppliedKind::kRefused, .id = change.id};
 }
 
 Applied ReplicatedState::Activate(const ActivateEntry& entry) {
   if (!staged_ || staged_->index != entry.stage_index) return {};
   CheckInvariant(staged_->result->revision == active_->revision + Revision(1),
-                 "the revision grows by one with each activation");
+                 "the revision increases by one with each activation");
   active_ = staged_->result;
   active_hash_ = staged_hash_;
   active_stage_index_ = staged_->index;
@@ -201,14 +201,15 @@
   staged_.reset();
   ChangeRecord& record = records_.at(id);
   record.state = ChangeState::kAborted;
-  record.answer = {false, active_->revision, false, Bounded(entry.findings)};
+  record.answer = {false, active_->revision, false,
+                   TruncateFindings(entry.findings)};
   return {.kind = AppliedKind::kAborted, .id = id};
 }
 
 Applied ReplicatedState::Confirm(const ConfirmEntry& entry) {
   if (entry.revision > active_->revision) return {};
   confirmed_ = std::max(confirmed_, entry.revision);
-  // Newest first: everything before a confirmed change is confirmed.
+  // Newest first: all changes before a confirmed one are confirmed.
   for (auto id = record_order_.rbegin(); id != record_order_.rend(); ++id) {
     ChangeRecord& record = records_.at(*id);
     if (record.state != ChangeState::kActive) continue;
@@ -222,7 +223,7 @@
 void ReplicatedState::AddRecord(ChangeRecord record) {
   record_order_.push_back(record.id);
   records_[record.id] = std::move(record);
-  // The newest record may be staged; those that are evicted never are.
+  // Only the newest record may be staged, so that evicted ones never are.
   while (record_order_.size() >
          std::max<std::size_t>(options_.max_records, 1)) {
     records_.erase(record_order_.front());
@@ -241,8 +242,8 @@
 }
 
 std::string ReplicatedState::Snapshot() const {
-  // Tens of thousands of records; without an arena most of the time goes into
-  // allocation.
+  // With tens of thousands of records, allocation would take most of the time
+  // without an arena.
   google::protobuf::Arena arena;
   auto& message =
       *google::protobuf::Arena::CreateMessage<proto::StateSnapshot>(&arena);
@@ -306,7 +307,7 @@
   }
   if (!findings.empty()) return findings;
   CheckInvariant(restored.active_->revision >= active_->revision,
-                 "a snapshot never leads to a lower revision");
+                 "a snapshot never lowers the revision");
   *this = std::move(restored);
   return findings;
 }
--- a/servers/configuration/value.cc
+++ b/servers/configuration/value.cc
@@ -9,7 +9,7 @@
 namespace cassiausher {
 namespace {
 
-// Above this a number of milliseconds doesn't fit into microseconds.
+// Longer durations don't fit into 64-bit microseconds.
 constexpr double kMaxDurationMilliseconds = 9e15;
 
 std::optional<Value> StringListFromJson(const nlohmann::json& json) {
