--- a/tests/configuration/change_coordinator_test.cc
+++ b/tests/configuration/change_coordinator_test.cc
@@ -1,5 +1,6 @@
-// Guards changes against loss, repetition, reordering, crashes, changes of
-// leader and cut-off data centres.
+// Guards against changes that are lost, applied twice or in force only in part
+// after message loss, duplication, reordering, crashes, leader changes or
+// partitions.
 #include "servers/configuration/change_coordinator.h"
 
 #include <rapidcheck.h>
@@ -18,32 +19,32 @@
 namespace {
 
 /// One leader whose proposals commit at once, and one follower in each of two
-/// data centres without a network between them.
+/// data centres. Messages are passed on directly, without a network.
 struct Deployment {
   Deployment() {
     coordinator.BecomeLeader(now);
     coordinator.SetMembers({{DataCentreId("east"), {InstanceId("e")}},
                             {DataCentreId("west"), {InstanceId("w")}}},
                            now);
-    Settle(Seconds(2));
+    RunFor(Seconds(2));
   }
 
-  /// Delivers everything for `duration`; what `cut` sends or gets is lost.
-  void Settle(Duration duration, const std::string& cut = "") {
+  /// Delivers all messages for `duration` but those to or from `partitioned`.
+  void RunFor(Duration duration, const std::string& partitioned = "") {
     for (const Time end = now + duration; now < end; now += Milliseconds(10)) {
       coordinator.OnQuorumContact(now);
       coordinator.Tick(now);
       for (auto& follower : followers) follower.Tick(now);
-      for (int round = 0; round < 6; ++round) Exchange(cut);
+      for (int round = 0; round < 6; ++round) Exchange(partitioned);
     }
   }
 
-  void Exchange(const std::string& cut) {
+  void Exchange(const std::string& partitioned) {
     for (auto& output : coordinator.TakeOutputs()) {
       if (const auto* propose = std::get_if<Propose>(&output)) {
         coordinator.OnApplied(state.Apply(++index, propose->entry), now);
       } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
-        if (send->to.value() == cut) continue;
+        if (send->to.value() == partitioned) continue;
         auto& follower = followers[send->to == InstanceId("w")];
         if (const auto* stage = std::get_if<Stage>(&send->message)) {
           follower.OnStage(InstanceId("e"), *stage, now);
@@ -57,7 +58,7 @@
     }
     for (int i = 0; i < 2; ++i) {
       for (auto& output : followers[i].TakeOutputs()) {
-        if (i == 1 && cut == "w") continue;
+        if (i == 1 && partitioned == "w") continue;
         if (const auto* follow = std::get_if<SendFollow>(&output)) {
           coordinator.OnFollow(follow->follow, now);
         } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
@@ -98,42 +99,42 @@
 
 TEST_GROUP(ChangeCoordinator){};
 
-// An accepted change that one data centre never got would be in force in part.
-TEST(ChangeCoordinator, CutOffDataCentreAbortsTheChangeByName) {
+// A change accepted without one data centre would be in force only in part.
+TEST(ChangeCoordinator, PartitionedDataCentreAbortsTheChangeAndIsNamed) {
   Deployment deployment;
   deployment.Submit(1, "c-1", "long");
-  deployment.Settle(Milliseconds(1900), "w");
+  deployment.RunFor(Milliseconds(1900), "w");
   CHECK(deployment.answers.empty());
-  deployment.Settle(Milliseconds(200), "w");
+  deployment.RunFor(Milliseconds(200), "w");
   const std::string expected =
       R"({"accepted":false,"findings":[{"message":"no acknowledgement within )"
       R"(2000 ms from: w","place":"data centre west"}],"in_force":false,)"
       R"("revision":0})";
   STRCMP_EQUAL(expected.c_str(), deployment.answers[1].c_str());
   CHECK(!deployment.state.staged());
-  // The same id gets the same answer after the return.
+  // The same id gets the same answer after the partition heals.
   deployment.Submit(2, "c-1", "long");
-  deployment.Settle(Seconds(1));
+  deployment.RunFor(Seconds(1));
   STRCMP_EQUAL(expected.c_str(), deployment.answers[2].c_str());
   deployment.Submit(3, "c-1", "other");
-  deployment.Settle(Seconds(1));
+  deployment.RunFor(Seconds(1));
   CHECK(deployment.answers[3].find("another text") != std::string::npos);
 }
 
-TEST(ChangeCoordinator, CutBetweenStagingAndActivationIsAnsweredNotInForce) {
+TEST(ChangeCoordinator, PartitionAfterStagingIsAnsweredAcceptedNotInForce) {
   Deployment deployment;
   deployment.Submit(1, "c-1", "long");
-  // Both acknowledge, the cut starts before the activation is sent.
+  // Both acknowledge; the partition starts before the activation is sent.
   while (deployment.state.active()->revision == Revision(0)) {
     deployment.Exchange(deployment.followers[1].has_staged() ? "w" : "");
     deployment.coordinator.Tick(deployment.now += Milliseconds(1));
   }
-  deployment.Settle(Milliseconds(2100), "w");
+  deployment.RunFor(Milliseconds(2100), "w");
   STRCMP_EQUAL(
       R"({"accepted":true,"findings":[{"message":"revision 1 is not confirmed )"
       R"(by: w","place":"data centre west"}],"in_force":false,"revision":1})",
       deployment.answers[1].c_str());
-  deployment.Settle(Seconds(1));
+  deployment.RunFor(Seconds(1));
   deployment.Submit(2, "c-1", "long");
   STRCMP_EQUAL(
       R"({"accepted":true,"findings":[],"in_force":true,"revision":1})",
@@ -142,22 +143,22 @@
 
 // A leader that dies between staging and activation must not leave a change
 // that blocks all others.
-TEST(ChangeCoordinator, NextLeaderFinishesAStagedChange) {
+TEST(ChangeCoordinator, NewLeaderActivatesAStagedChange) {
   Deployment deployment;
   Change change;
   change.id = ChangeId("c-1");
   deployment.state.Apply(++deployment.index, StageEntry{change});
   deployment.coordinator.BecomeLeader(deployment.now);
-  deployment.Settle(Milliseconds(100));
+  deployment.RunFor(Milliseconds(100));
   CHECK(deployment.state.active()->revision == Revision(1));
   LONGS_EQUAL(2, deployment.index);
 }
 
 TEST_GROUP(ConfigurationFollower){};
 
-// A restarted instance would believe that it is current although the leader
-// doesn't count on its lease.
-TEST(ConfigurationFollower, AnswerToAFormerRunRenewsNoLease) {
+// A restarted instance would consider itself current although the leader
+// doesn't account for its lease.
+TEST(ConfigurationFollower, ReplyToAnEarlierIncarnationRenewsNoLease) {
   const ReplicatedState state;
   const auto run = [&](std::uint64_t incarnation, Time now) {
     ConfigurationFollower follower({.instance = InstanceId("e"),
@@ -166,24 +167,24 @@
     follower.Tick(now);
     return follower;
   };
-  ConfigurationFollower former = run(1, Time(Seconds(1)));
-  const auto sent = former.TakeOutputs();
+  ConfigurationFollower previous = run(1, Time(Seconds(1)));
+  const auto sent = previous.TakeOutputs();
   Activate answer = AnswerFollow(state, std::get<SendFollow>(sent[0]).follow);
   answer.lease = Seconds(2);
   ConfigurationFollower next = run(2, Time(Seconds(2)));
   next.OnActivate(InstanceId("w"), answer, Time(Seconds(2)));
   CHECK(next.active() != nullptr);
   CHECK(!next.LeaseValid(Time(Seconds(2))));
-  former.OnActivate(InstanceId("w"), answer, Time(Seconds(2)));
-  CHECK(former.LeaseValid(Time(Seconds(3) - Duration(1))));
-  CHECK(!former.LeaseValid(Time(Seconds(3))));
+  previous.OnActivate(InstanceId("w"), answer, Time(Seconds(2)));
+  CHECK(previous.LeaseValid(Time(Seconds(3) - Duration(1))));
+  CHECK(!previous.LeaseValid(Time(Seconds(3))));
 }
 
-// Two attempts at one revision differ; only the committed one may run.
+// Two attempts at one revision differ; only the committed one may be activated.
 TEST(ConfigurationFollower, AbortedStageIsNotActivatedByTheNextAttempt) {
   Deployment deployment;
   deployment.Submit(1, "c-1", "long");
-  deployment.Settle(Seconds(3), "w");
+  deployment.RunFor(Seconds(3), "w");
   Change next;
   next.id = ChangeId("c-2");
   next.operations = {
@@ -203,7 +204,7 @@
 
 TEST_GROUP(ReplicatedState){};
 
-TEST(ReplicatedState, LastTwentyThousandIdsAreKeptOverASnapshot) {
+TEST(ReplicatedState, SnapshotKeepsTheLastTwentyThousandIds) {
   ReplicatedState state;
   Change change;
   const int count = 30000;
@@ -225,7 +226,7 @@
   }
 }
 
-TEST(ReplicatedState, DamagedBytesGiveFindings) {
+TEST(ReplicatedState, MalformedBytesGiveFindingsAndLeaveTheState) {
   ReplicatedState state;
   CHECK(std::holds_alternative<Findings>(state.ApplyBytes(1, "\xff\xff")));
   CHECK(std::holds_alternative<Findings>(state.ApplyBytes(1, "")));
--- a/tests/configuration/change_simulation.cc
+++ b/tests/configuration/change_simulation.cc
@@ -16,7 +16,7 @@
           "priority",          priority,           {1, 1}};
 }
 
-Operation Declare(const char* data_centre) {
+Operation CreateDataCentre(const char* data_centre) {
   return {OperationKind::kCreate,
           ObjectKind::kDataCentre,
           data_centre,
@@ -33,17 +33,17 @@
     AddInstance(data_centre, 2, false);
   }
   AddInstance("east", 3, false);
-  // The first committed entries found the configuration.
+  // The first committed entries create the initial configuration.
   Change first;
-  first.id = ChangeId("founding");
+  first.id = ChangeId("bootstrap");
   first.operations = {
       {OperationKind::kCreate, ObjectKind::kClass, "long", "", false, {1, 1}}};
   for (const char* data_centre : kDataCentres) {
-    first.operations.push_back(Declare(data_centre));
+    first.operations.push_back(CreateDataCentre(data_centre));
   }
   log_.push_back(EncodeStateEntry(StageEntry{first}));
   log_.push_back(EncodeStateEntry(ActivateEntry{1}));
-  winners_[1] = "founding";
+  accepted_ids_[1] = "bootstrap";
 }
 
 void ChangeSimulation::AddInstance(const std::string& data_centre, int number,
@@ -67,7 +67,7 @@
                       .incarnation = Incarnation(instance->incarnation)});
 }
 
-void ChangeSimulation::After(Duration delay, std::function<void()> run) {
+void ChangeSimulation::Schedule(Duration delay, std::function<void()> run) {
   events_.emplace(now_ + delay, std::move(run));
 }
 
@@ -88,11 +88,11 @@
   const Time end = now_ + duration;
   while (now_ < end) {
     Advance(Milliseconds(50));
-    if (random_.Chance(0.06)) Fault();
-    if (leader_ != nullptr && random_.Chance(0.3)) SubmitSomething(leader_);
+    if (random_.Chance(0.06)) InjectFault();
+    if (leader_ != nullptr && random_.Chance(0.3)) SubmitRandomChange(leader_);
   }
-  loss_ = 0;
-  cut_.clear();
+  loss_rate_ = 0;
+  partitioned_.clear();
   for (auto& instance : instances_) {
     instance->up = true;
     instance->isolated = false;
@@ -101,10 +101,11 @@
 }
 
 void ChangeSimulation::CheckConvergence() {
-  Expect(open_.empty(), "every submission is answered or lost");
+  Expect(open_submissions_.empty(),
+         "every submission is answered or abandoned");
   Expect(leader_ != nullptr, "a leader exists after healing");
   if (leader_ == nullptr) return;
-  // Leaves no data centre excluded, so that all must confirm.
+  // Includes every data centre, so that all must confirm.
   for (const char* data_centre : kDataCentres) {
     const DataCentreId id(data_centre);
     if (!leader_->state->active()->excluded_data_centres.contains(id)) continue;
@@ -141,7 +142,8 @@
   if (&a == &b) return a.up;
   if (!a.up || !b.up || a.isolated || b.isolated) return false;
   if (a.data_centre == b.data_centre) return true;
-  return !cut_.contains(a.data_centre) && !cut_.contains(b.data_centre);
+  return !partitioned_.contains(a.data_centre) &&
+         !partitioned_.contains(b.data_centre);
 }
 
 bool ChangeSimulation::HasQuorum(const Instance& leader) const {
@@ -161,7 +163,8 @@
   return members;
 }
 
-ChangeSimulation::Instance* ChangeSimulation::Find(const InstanceId& id) {
+ChangeSimulation::Instance* ChangeSimulation::FindInstance(
+    const InstanceId& id) {
   for (auto& instance : instances_) {
     if (instance->id == id) return instance.get();
   }
@@ -180,55 +183,55 @@
       if (instance.get() == leader_ && HasQuorum(*leader_)) {
         leader_->coordinator->OnQuorumContact(now_ - Milliseconds(50));
       }
-      // Membership reports a state of up to a second ago.
+      // Membership lags by up to a second.
       const auto seen = MembersSeenBy(*instance);
       Instance* observer = instance.get();
-      After(Milliseconds(static_cast<int>(random_.Below(1000))),
-            [this, observer, seen] {
-              observer->coordinator->SetMembers(seen, now_);
-            });
+      Schedule(Milliseconds(static_cast<int>(random_.Below(1000))),
+               [this, observer, seen] {
+                 observer->coordinator->SetMembers(seen, now_);
+               });
       instance->coordinator->Tick(now_);
     }
     instance->follower->Tick(now_);
-    Flush(instance.get());
+    ProcessOutputs(instance.get());
   }
   CheckLeases();
 }
 
-void ChangeSimulation::Fault() {
+void ChangeSimulation::InjectFault() {
   Instance* victim = instances_[random_.Below(instances_.size())].get();
   switch (random_.Below(6)) {
-    case 0:  // A data centre is cut off, or all are connected again.
-      if (cut_.empty()) {
-        cut_.insert(DataCentreId(kDataCentres[random_.Below(3)]));
+    case 0:  // Partitions a data centre, or heals the partition.
+      if (partitioned_.empty()) {
+        partitioned_.insert(DataCentreId(kDataCentres[random_.Below(3)]));
       } else {
-        cut_.clear();
+        partitioned_.clear();
       }
       return;
     case 1:
       victim->isolated = !victim->isolated;
       return;
-    case 2: {  // A process dies and starts again without its memory.
+    case 2: {  // A process crashes and restarts without its memory.
       if (victim == leader_) Elect();
       victim->up = false;
       if (victim->coordinator != nullptr) {
         victim->coordinator->StepDown();
-        Flush(victim);
+        ProcessOutputs(victim);
         // The log on disk survives, here as a snapshot.
         ReplicatedState restored;
         Expect(restored.Restore(victim->state->Snapshot()).empty(),
                "a snapshot can be restored");
         *victim->state = std::move(restored);
       }
-      After(Milliseconds(static_cast<int>(random_.Below(4000))),
-            [this, victim] {
-              victim->up = true;
-              ++victim->incarnation;
-              StartFollower(victim);
-              if (victim->state != nullptr) {
-                victim->follower->Adopt(*victim->state);
-              }
-            });
+      Schedule(Milliseconds(static_cast<int>(random_.Below(4000))),
+               [this, victim] {
+                 victim->up = true;
+                 ++victim->incarnation;
+                 StartFollower(victim);
+                 if (victim->state != nullptr) {
+                   victim->follower->Adopt(*victim->state);
+                 }
+               });
       return;
     }
     case 3:
@@ -248,17 +251,18 @@
       candidates.push_back(instance.get());
     }
   }
-  Instance* former = leader_;
+  Instance* previous = leader_;
   if (candidates.empty()) return;
   ++term_;
   leader_ = candidates[random_.Below(candidates.size())];
-  // The former leader learns of it later and goes on until then.
-  if (former != nullptr) {
-    After(Milliseconds(static_cast<int>(random_.Below(700))), [this, former] {
-      if (former == leader_) return;
-      former->coordinator->StepDown();
-      Flush(former);
-    });
+  // The previous leader learns of the election later and leads until then.
+  if (previous != nullptr) {
+    Schedule(Milliseconds(static_cast<int>(random_.Below(700))),
+             [this, previous] {
+               if (previous == leader_) return;
+               previous->coordinator->StepDown();
+               ProcessOutputs(previous);
+             });
   }
   ApplyLog(leader_, true);
   leader_->coordinator->SetMembers(MembersSeenBy(*leader_), now_);
@@ -267,7 +271,7 @@
 
 void ChangeSimulation::Commit(const Instance& proposer, std::uint64_t term,
                               std::string entry) {
-  // What a deposed or cut-off leader proposes is never committed.
+  // A proposal of a deposed or partitioned leader is never committed.
   if (term != term_ || &proposer != leader_) return;
   if (!proposer.up || !HasQuorum(proposer)) return;
   log_.push_back(std::move(entry));
@@ -283,15 +287,15 @@
     Expect(std::holds_alternative<Applied>(applied), "entries decode");
     voter->coordinator->OnApplied(std::get<Applied>(applied), now_);
   }
-  Flush(voter);
+  ProcessOutputs(voter);
 }
 
-void ChangeSimulation::SubmitSomething(Instance* leader) {
+void ChangeSimulation::SubmitRandomChange(Instance* leader) {
   const Configuration& active = *leader->state->active();
   std::optional<Revision> expected;
   if (random_.Chance(0.5)) expected = active.revision;
-  // Half of the ids are new, the others repeat one with the same text or,
-  // seldom, with another.
+  // Half of the ids are new; the others repeat one with the same text or,
+  // rarely, with another.
   const int id = random_.Chance(0.5)
                      ? next_id_++
                      : static_cast<int>(random_.Below(next_id_)) + 1;
@@ -322,34 +326,38 @@
   Change change;
   change.id = ChangeId(id);
   change.operations = {operation};
-  // What is sent again is the same statement, with the same expectation.
+  // A resubmission is the same statement with the same expected revision.
   change.expected_revision =
       expected_.emplace(std::pair(id, body), expected).first->second;
   change.text = body;
 
   const std::uint64_t submission = next_submission_++;
   submissions_[submission] = {id, body, change.expected_revision};
-  open_.insert(submission);
+  open_submissions_.insert(submission);
   leader->coordinator->Submit(submission, change, now_);
-  Flush(leader);
+  ProcessOutputs(leader);
 }
 
 void ChangeSimulation::Send(const Instance& from, const InstanceId& to,
                             ConfigurationMessage message) {
   const auto bytes = EncodeMessage(message);
   const InstanceId sender = from.id;
-  const int copies = random_.Chance(loss_) ? 0 : random_.Chance(0.1) ? 2 : 1;
+  const int copies = random_.Chance(loss_rate_) ? 0
+                     : random_.Chance(0.1)      ? 2
+                                                : 1;
   for (int i = 0; i < copies; ++i) {
-    const bool very_late = random_.Chance(loss_ / 5);
-    After(very_late ? Seconds(2) : Delay(), [this, sender, to, bytes] {
-      Instance* target = Find(to);
-      if (target == nullptr || !Reachable(*Find(sender), *target)) return;
-      const auto decoded = DecodeMessage(bytes);
-      Expect(std::holds_alternative<ConfigurationMessage>(decoded),
-             "messages decode");
-      Deliver(sender, target, std::get<ConfigurationMessage>(decoded));
-      Flush(target);
-    });
+    const bool long_delay = random_.Chance(loss_rate_ / 5);
+    Schedule(
+        long_delay ? Seconds(2) : RandomDelay(), [this, sender, to, bytes] {
+          Instance* target = FindInstance(to);
+          if (target == nullptr || !Reachable(*FindInstance(sender), *target))
+            return;
+          const auto decoded = DecodeMessage(bytes);
+          Expect(std::holds_alternative<ConfigurationMessage>(decoded),
+                 "messages decode");
+          Deliver(sender, target, std::get<ConfigurationMessage>(decoded));
+          ProcessOutputs(target);
+        });
   }
 }
 
@@ -370,18 +378,19 @@
   }
 }
 
-void ChangeSimulation::Flush(Instance* instance) {
+void ChangeSimulation::ProcessOutputs(Instance* instance) {
   for (auto& output : instance->follower->TakeOutputs()) {
     if (const auto* follow = std::get_if<SendFollow>(&output)) {
-      // Some reach a deposed leader or another voter.
+      // Some reach a deposed leader or another instance.
       Instance* target = instances_[random_.Below(instances_.size())].get();
-      const bool to_leader = leader_ != nullptr && random_.Chance(1 - loss_);
+      const bool to_leader =
+          leader_ != nullptr && random_.Chance(1 - loss_rate_);
       Send(*instance, to_leader ? leader_->id : target->id, follow->follow);
     } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
       Send(*instance, send->to, send->message);
     } else {
       const auto& changed = std::get<ConfigurationChanged>(output);
-      Revision& reached = reached_[instance->data_centre];
+      Revision& reached = reached_revisions_[instance->data_centre];
       reached = std::max(reached, changed.configuration->revision);
     }
   }
@@ -394,14 +403,15 @@
       const auto commit = [this, instance, term, entry] {
         Commit(*instance, term, entry);
       };
-      After(Delay(), commit);
-      // A proposal that is made twice may be committed long after the first.
-      if (random_.Chance(0.1)) After(20 * Delay(), commit);
+      Schedule(RandomDelay(), commit);
+      // A duplicate of a proposal may be committed long after the first.
+      if (random_.Chance(0.1)) Schedule(20 * RandomDelay(), commit);
 
     } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
       Send(*instance, send->to, send->message);
-    } else if (const auto* lost = std::get_if<AbandonSubmission>(&output)) {
-      open_.erase(lost->submission);
+    } else if (const auto* abandoned =
+                   std::get_if<AbandonSubmission>(&output)) {
+      open_submissions_.erase(abandoned->submission);
     } else {
       const auto& answer = std::get<AnswerSubmission>(output);
       OnAnswer(answer.submission, answer.answer);
@@ -411,10 +421,11 @@
 
 void ChangeSimulation::OnAnswer(std::uint64_t submission,
                                 const ChangeAnswer& answer) {
-  Expect(open_.erase(submission) == 1, "a submission is answered once");
+  Expect(open_submissions_.erase(submission) == 1,
+         "a submission is answered once");
   const Submission& asked = submissions_.at(submission);
   if (!answer.accepted) ++refused_;
-  // Refusals for another text aren't recorded under that text.
+  // A refusal of a reused id isn't recorded under the refused text.
   const bool other_text = !answer.findings.empty() &&
                           answer.findings.items().front().place == "change id";
   if (other_text) return;
@@ -428,9 +439,10 @@
          "the same id gets the same findings");
   first->second.in_force = answer.in_force;
   if (!answer.accepted) return;
-  const auto [winner, first_win] =
-      winners_.emplace(answer.revision.value(), asked.id);
-  Expect(winner->second == asked.id, "one change wins a revision");
+  const auto [recorded, is_first] =
+      accepted_ids_.emplace(answer.revision.value(), asked.id);
+  Expect(recorded->second == asked.id,
+         "only one change is accepted for a revision");
   Expect(!asked.expected || answer.revision == *asked.expected + Revision(1),
          "a change applies to the revision it expects");
 
@@ -441,8 +453,8 @@
   for (const char* name : kDataCentres) {
     const DataCentreId id(name);
     if (excluded.contains(id)) continue;
-    Expect(reached_[id] >= answer.revision,
-           "what is in force has reached every data centre");
+    Expect(reached_revisions_[id] >= answer.revision,
+           "a revision in force has reached every data centre");
   }
 }
 
@@ -450,7 +462,7 @@
   for (const auto& instance : instances_) {
     if (!instance->up || !instance->follower->LeaseValid(now_)) continue;
     Expect(instance->follower->active()->revision >= in_force_revision_,
-           "an instance with a lease runs what is in force");
+           "an instance with a lease runs the revision in force");
   }
 }
 
--- a/tests/configuration/change_simulation.h
+++ b/tests/configuration/change_simulation.h
@@ -1,7 +1,7 @@
-// A deployment of three data centres in virtual time: followers, replicas of
-// the log and coordinators over a network that loses, repeats and reorders
-// messages, with crashes, changes of leader and cut-off data centres. It checks
-// the invariants of changes as it runs.
+// Simulates a deployment of three data centres in virtual time: followers,
+// replicas of the log and coordinators over a network that loses, duplicates
+// and reorders messages, with crashes, leader changes and partitions. It checks
+// the invariants of changes while it runs.
 #ifndef TESTS_CONFIGURATION_CHANGE_SIMULATION_H_
 #define TESTS_CONFIGURATION_CHANGE_SIMULATION_H_
 
@@ -23,14 +23,15 @@
  public:
   explicit ChangeSimulation(std::uint64_t seed);
 
-  /// Faults and racing operators for `duration`, then a healed network.
+  /// Injects faults and submits changes for `duration`, then heals the network.
   void Run(Duration duration);
-  /// After Run(): all must converge and a last change must come into force.
+  /// Call after Run(): checks that all instances converge and that a last
+  /// change comes into force.
   void CheckConvergence();
 
   /// Empty if every invariant held.
   const std::vector<std::string>& violations() const { return violations_; }
-  int accepted() const { return static_cast<int>(winners_.size()); }
+  int accepted() const { return static_cast<int>(accepted_ids_.size()); }
   int in_force() const { return in_force_answers_; }
   int refused() const { return refused_; }
 
@@ -40,7 +41,7 @@
     DataCentreId data_centre;
     std::uint64_t incarnation = 1;
     bool up = true;
-    /// Reaches nobody, and membership finds out late.
+    /// Reaches no other instance; membership detects it late.
     bool isolated = false;
     std::unique_ptr<ConfigurationFollower> follower;
     /// Voters only.
@@ -56,30 +57,30 @@
 
   void AddInstance(const std::string& data_centre, int number, bool voter);
   void StartFollower(Instance* instance);
-  void After(Duration delay, std::function<void()> run);
+  void Schedule(Duration delay, std::function<void()> run);
   void Advance(Duration duration);
-  Duration Delay() {
+  Duration RandomDelay() {
     return Duration(200 + static_cast<int>(random_.Below(30000)));
   }
 
   bool Reachable(const Instance& a, const Instance& b) const;
   bool HasQuorum(const Instance& leader) const;
   LiveMembers MembersSeenBy(const Instance& observer) const;
-  Instance* Find(const InstanceId& id);
+  Instance* FindInstance(const InstanceId& id);
 
   void Step();
-  void Fault();
+  void InjectFault();
   void Elect();
   void Commit(const Instance& proposer, std::uint64_t term, std::string entry);
   void ApplyLog(Instance* voter, bool all);
-  void SubmitSomething(Instance* leader);
+  void SubmitRandomChange(Instance* leader);
   void Submit(Instance* leader, const std::string& id, const std::string& body,
               std::optional<Revision> expected, const Operation& operation);
   void Send(const Instance& from, const InstanceId& to,
             ConfigurationMessage message);
   void Deliver(const InstanceId& from, Instance* to,
                const ConfigurationMessage& message);
-  void Flush(Instance* instance);
+  void ProcessOutputs(Instance* instance);
   void OnAnswer(std::uint64_t submission, const ChangeAnswer& answer);
   void CheckLeases();
   void Expect(bool holds, const std::string& invariant);
@@ -88,8 +89,8 @@
   Time now_{};
   std::multimap<Time, std::function<void()>> events_;
   std::vector<std::unique_ptr<Instance>> instances_;
-  std::set<DataCentreId> cut_;
-  double loss_ = 0.1;
+  std::set<DataCentreId> partitioned_;
+  double loss_rate_ = 0.1;
 
   std::vector<std::string> log_;
   std::uint64_t term_ = 0;
@@ -99,14 +100,15 @@
   /// Expected revision of the first submission of each (id, text).
   std::map<std::pair<std::string, std::string>, std::optional<Revision>>
       expected_;
-  std::set<std::uint64_t> open_;
+  std::set<std::uint64_t> open_submissions_;
   std::uint64_t next_submission_ = 1;
   int next_id_ = 1;
-  /// First answer of each (id, text), and whether it was said to be in force.
+  /// First answer of each (id, text), with the latest `in_force`.
   std::map<std::pair<std::string, std::string>, ChangeAnswer> answers_;
-  std::map<std::uint64_t, std::string> winners_;
+  /// Id of the accepted change of each revision.
+  std::map<std::uint64_t, std::string> accepted_ids_;
   /// Highest revision that any instance of the data centre ran.
-  std::map<DataCentreId, Revision> reached_;
+  std::map<DataCentreId, Revision> reached_revisions_;
   Revision in_force_revision_{0};
   int in_force_answers_ = 0;
   int refused_ = 0;
--- a/tests/configuration/configuration_test.cc
+++ b/tests/configuration/configuration_test.cc
@@ -1,5 +1,5 @@
-// Guards the JSON form, the whole validation and the all-or-nothing
-// application of changes.
+// Guards against fields lost in JSON, validation that stops at the first fault
+// and changes that are applied in part.
 #include "servers/configuration/configuration.h"
 
 #include <string>
@@ -36,7 +36,7 @@
 
 TEST_GROUP(Configuration){};
 
-// A field left out of one direction would be lost at the first snapshot.
+// A field missing in one direction would be lost at the first snapshot.
 TEST(Configuration, JsonRoundTripKeepsEveryField) {
   Configuration configuration = TestConfiguration();
   auto& service = configuration.services.begin()->second;
@@ -66,7 +66,7 @@
   CHECK(std::get<Configuration>(read) == configuration);
 }
 
-// Operators correct a file once only if every fault is named at once.
+// Operators can correct a file in one pass only if every fault is reported.
 TEST(Configuration, EveryFindingIsReportedWithItsPointer) {
   const auto json = nlohmann::json::parse(R"({
     "colour": 1, "revision": -4, "voters": "x",
@@ -91,7 +91,7 @@
 
 TEST_GROUP(Change){};
 
-TEST(Change, OperationsApplyInOrderAndTheRevisionGrowsByOne) {
+TEST(Change, OperationsApplyInOrderAndIncrementTheRevision) {
   Change change;
   change.operations = {
       MakeOperation(OperationKind::kCreate, ObjectKind::kClass, "kiosk"),
@@ -117,7 +117,7 @@
   DOUBLES_EQUAL(2e6, result.links.at(DataCentreId("east")).bytes_per_second, 0);
 }
 
-TEST(Change, EveryWrongOperationIsReportedAndNothingIsApplied) {
+TEST(Change, EveryInvalidOperationIsReportedAndNothingIsApplied) {
   Change change;
   change.operations = {
       MakeOperation(OperationKind::kSet, ObjectKind::kService,
@@ -151,7 +151,7 @@
   LONGS_EQUAL(7, std::get<Findings>(applied).items().size());
 }
 
-TEST(Change, LastDataCentreAndLastVoterStay) {
+TEST(Change, ExcludingAllDataCentresOrRemovingTheLastVoterFails) {
   Configuration base = TestConfiguration();
   base.voters = {InstanceId("east-1")};
   Change change;
@@ -165,7 +165,7 @@
   LONGS_EQUAL(2, std::get<Findings>(applied).items().size());
 }
 
-// An operator of one team must not reach other teams through shared classes.
+// An operator must not affect other teams through shared classes.
 TEST(Change, OperatorChangesOnlyTheServicesOfItsTeam) {
   Configuration base = TestConfiguration();
   ClientAccount account;
--- a/tests/configuration/test_configuration.h
+++ b/tests/configuration/test_configuration.h
@@ -1,4 +1,4 @@
-// A small configuration that tests start from.
+// A small valid configuration that tests modify.
 #ifndef TESTS_CONFIGURATION_TEST_CONFIGURATION_H_
 #define TESTS_CONFIGURATION_TEST_CONFIGURATION_H_
 
