--- a/servers/language/query.cc
+++ b/servers/language/query.cc
@@ -49,7 +49,7 @@
   return false;
 }
 
-bool IsShown(const Row& row, const Query& query) {
+bool Matches(const Row& row, const Query& query) {
   if (query.any_of.empty()) return true;
   return std::any_of(
       query.any_of.begin(), query.any_of.end(), [&](const auto& group) {
@@ -75,7 +75,7 @@
 }  // namespace
 
 std::vector<Row> Evaluate(const Query& query, std::vector<Row> rows) {
-  std::erase_if(rows, [&](const Row& row) { return !IsShown(row, query); });
+  std::erase_if(rows, [&](const Row& row) { return !Matches(row, query); });
   std::stable_sort(rows.begin(), rows.end(), [&](const Row& a, const Row& b) {
     return Precedes(a, b, query.order);
   });
--- a/servers/language/query.h
+++ b/servers/language/query.h
@@ -24,7 +24,7 @@
 struct Condition {
   std::string field;
   Comparison comparison = Comparison::kEqual;
-  /// Of the kind of the column.
+  /// Has the kind of the column.
   Value value;
 };
 
@@ -35,14 +35,14 @@
 
 struct Query {
   std::string table;
-  /// A row is shown if it meets all conditions of any group; `and` binds
-  /// tighter than `or`. No group shows every row.
+  /// A row matches if it meets all conditions of any group; `and` binds tighter
+  /// than `or`. Without groups every row matches.
   std::vector<std::vector<Condition>> any_of;
   std::vector<OrderKey> order;
   std::optional<std::size_t> limit;
 };
 
-/// Filters, orders (stable) and cuts the rows of the query's table.
+/// Filters, stably sorts and limits the rows of the query's table.
 std::vector<Row> Evaluate(const Query& query, std::vector<Row> rows);
 
 }  // namespace cassiausher
--- a/servers/language/row.h
+++ b/servers/language/row.h
@@ -1,4 +1,4 @@
-// Typed rows that `show` queries read, and the tables they come from.
+// Typed rows that `show` queries return, and the tables they come from.
 #ifndef SERVERS_LANGUAGE_ROW_H_
 #define SERVERS_LANGUAGE_ROW_H_
 
@@ -11,7 +11,6 @@
 
 namespace cassiausher {
 
-/// A column of a table.
 struct Column {
   std::string_view name;
   ValueKind kind;
@@ -24,7 +23,7 @@
   std::vector<Column> columns;
 };
 
-/// Every table that `show` knows.
+/// All tables that `show` can query.
 const std::vector<Table>& Tables();
 /// Null if there is no such table.
 const Table* FindTable(std::string_view name);
@@ -40,7 +39,7 @@
   /// Null if the row has no such value.
   const Value* Find(std::string_view name) const;
 
-  /// An object; durations as `NAME_ms`.
+  /// A JSON object; durations under the key `NAME_ms`.
   nlohmann::json ToJson() const;
 
   struct Cell {
--- a/servers/language/statement.cc
+++ b/servers/language/statement.cc
@@ -1,4 +1,4 @@
-// PEGTL grammar of the operator's language and the actions that build
+// PEGTL grammar of the operator language and the actions that build
 // statements from it.
 #include "servers/language/statement.h"
 
@@ -26,11 +26,11 @@
 // makes the rule rewind, so that the finding names the start of the token.
 
 struct Comment : pegtl::seq<pegtl::one<'#'>, pegtl::until<pegtl::eolf>> {};
-struct Gap : pegtl::star<pegtl::sor<pegtl::space, Comment>> {};
+struct Spacing : pegtl::star<pegtl::sor<pegtl::space, Comment>> {};
 struct WordCharacter
     : pegtl::sor<pegtl::alnum, pegtl::one<'_'>, pegtl::one<'-'>> {};
 template <typename Rule>
-struct Token : pegtl::seq<Rule, Gap> {};
+struct Token : pegtl::seq<Rule, Spacing> {};
 template <char... Characters>
 struct Word : Token<pegtl::seq<pegtl::string<Characters...>,
                                pegtl::not_at<WordCharacter>>> {};
@@ -40,9 +40,10 @@
 struct Expect : pegtl::sor<Rule, pegtl::failure> {};
 
 // Names are UTF-8, because they appear in JSON.
-struct Plain : pegtl::utf8::not_one<'"', '\\', '\n', '\r', '\0'> {};
+struct UnescapedCharacter : pegtl::utf8::not_one<'"', '\\', '\n', '\r', '\0'> {
+};
 struct Escape : pegtl::seq<pegtl::one<'\\'>, pegtl::one<'"', '\\'>> {};
-struct QuotedContent : pegtl::star<pegtl::sor<Plain, Escape>> {};
+struct QuotedContent : pegtl::star<pegtl::sor<UnescapedCharacter, Escape>> {};
 struct Quoted : pegtl::seq<pegtl::one<'"'>, QuotedContent, pegtl::one<'"'>> {};
 struct Identifier
     : pegtl::seq<
@@ -171,15 +172,17 @@
 struct AddWord : Word<'a', 'd', 'd'> {};
 struct Add : pegtl::seq<AddWord, pegtl::must<ExpectedVoterWord, ExpectedName>> {
 };
-struct Bare : pegtl::sor<Remove, Drain, Exclude, Add> {};
+struct OperationWithoutAssignments : pegtl::sor<Remove, Drain, Exclude, Add> {};
 struct OperationStart : pegtl::success {};
 struct ExpectedOperation
-    : Expect<pegtl::seq<OperationStart, pegtl::sor<Set, Create, Bare>>> {};
+    : Expect<pegtl::seq<OperationStart,
+                        pegtl::sor<Set, Create, OperationWithoutAssignments>>> {
+};
 struct ExpectedOperationEnd
     : Expect<pegtl::at<pegtl::sor<pegtl::one<';', '}'>>>> {};
 struct CheckedOperation
     : pegtl::try_catch<pegtl::must<ExpectedOperation, ExpectedOperationEnd>> {};
-// Skips a wrong operation, so that the ones after it are checked as well.
+// Skips an invalid operation, so that those after it are checked as well.
 struct SkippedOperation
     : pegtl::plus<pegtl::sor<Quoted, pegtl::not_one<';', '}'>>> {};
 struct Operations
@@ -212,7 +215,7 @@
                          pegtl::must<ExpectedEnd>> {};
 
 struct ExpectedStatement
-    : Expect<pegtl::seq<Gap, pegtl::sor<Show, ChangeRule, Help>>> {};
+    : Expect<pegtl::seq<Spacing, pegtl::sor<Show, ChangeRule, Help>>> {};
 struct Grammar : pegtl::must<ExpectedStatement> {};
 
 template <typename Rule>
@@ -296,14 +299,14 @@
   bool is_change = false;
   bool is_help = false;
 
-  /// Last tokens read.
+  /// Most recently parsed tokens.
   std::string text;
   std::string field;
   SourcePlace field_place;
   Comparison comparison = Comparison::kEqual;
   Value value;
   std::vector<std::string> list;
-  /// Operation that is being read.
+  /// Operation being parsed.
   Operation operation;
 
   void AddOperation(OperationKind kind) {
@@ -409,11 +412,11 @@
   return 3600e6;
 }
 
-/// Nothing if the number is out of range. `text` matches Numeric.
+/// Returns nothing if the number is out of range. `text` matches Numeric.
 std::optional<Value> ParseNumeric(std::string_view text) {
-  const std::size_t unit_at = text.find_last_of("0123456789") + 1;
-  const std::string_view digits = text.substr(0, unit_at);
-  const std::string_view unit = text.substr(unit_at);
+  const std::size_t unit_start = text.find_last_of("0123456789") + 1;
+  const std::string_view digits = text.substr(0, unit_start);
+  const std::string_view unit = text.substr(unit_start);
   const char* end = digits.data() + digits.size();
   if (unit.empty() && digits.find('.') == std::string_view::npos) {
     std::int64_t integer = 0;
@@ -595,7 +598,7 @@
   }
 };
 template <>
-struct Action<Bare> {
+struct Action<OperationWithoutAssignments> {
   static void apply0(ParserState& state) {
     const bool removes_voter = state.operation.kind == OperationKind::kRemove &&
                                state.operation.object == ObjectKind::kVoter;
@@ -635,7 +638,7 @@
   static void apply0(ParserState& state) { state.is_help = true; }
 };
 
-Findings Refused(std::string message) {
+Findings SingleFinding(std::string message) {
   Findings findings;
   findings.Add(FormatPlace({}), std::move(message));
   return findings;
@@ -705,21 +708,21 @@
 
 Statement ParseStatement(std::string_view text) {
   if (text.size() > kMaxStatementBytes) {
-    return Refused(fmt::format("the statement is longer than {} bytes",
-                               kMaxStatementBytes));
+    return SingleFinding(fmt::format("the statement is longer than {} bytes",
+                                     kMaxStatementBytes));
   }
   ParserState state;
   pegtl::memory_input input(text.data(), text.size(), "");
   try {
     const bool matched = pegtl::parse<Grammar, Action, Control>(input, state);
-    if (!matched) return Refused(kExpected<ExpectedStatement>);
+    if (!matched) return SingleFinding(kExpected<ExpectedStatement>);
   } catch (const pegtl::parse_error&) {
     // Control::raise() has recorded the finding.
   }
   if (!state.findings.empty()) return state.findings;
   if (state.is_help) return state.help;
   if (!state.is_change) return state.query;
-  if (state.change.id.empty()) return Refused("the change id is empty");
+  if (state.change.id.empty()) return SingleFinding("the change id is empty");
   state.change.text = std::string(text);
   return state.change;
 }
--- a/servers/language/statement.h
+++ b/servers/language/statement.h
@@ -1,4 +1,4 @@
-// Parser of the operator's language; docs/language.md describes the grammar.
+// Parser of the operator language; docs/language.md describes the grammar.
 #ifndef SERVERS_LANGUAGE_STATEMENT_H_
 #define SERVERS_LANGUAGE_STATEMENT_H_
 
@@ -25,16 +25,16 @@
 /// Findings carry "line L column C" and what was expected there.
 using Statement = std::variant<Query, Change, HelpRequest, Findings>;
 
-/// Parses one statement. Wrong operations of a change are all reported, not
-/// only the first. Fields and kinds of values are checked for queries here,
-/// for changes by ApplyChange().
+/// Parses one statement. Reports all invalid operations of a change, not only
+/// the first. Fields and kinds of values are checked for queries here, for
+/// changes by ApplyChange().
 Statement ParseStatement(std::string_view text);
 
-/// Answer to a help request. An unknown topic names the topics.
+/// Text for a help request. For an unknown topic it lists the known ones.
 std::string HelpText(std::string_view topic);
 
-/// Every keyword, table, column and field of the language, sorted, without
-/// repetition; for completion in a shell.
+/// Every keyword, table, column and field of the language, sorted and without
+/// duplicates, for shell completion.
 std::vector<std::string> CompletionWords();
 
 }  // namespace cassiausher
--- a/tests/language/statement_test.cc
+++ b/tests/language/statement_test.cc
@@ -1,4 +1,5 @@
-// Guards the grammar, the places of findings and the evaluation of queries.
+// Guards against misparsed statements, findings without a place and wrong query
+// results.
 #include "servers/language/statement.h"
 
 #include <fmt/format.h>
@@ -61,7 +62,7 @@
 
 TEST_GROUP(Statement){};
 
-TEST(Statement, ChangeGivesOperationsWithPlaces) {
+TEST(Statement, ChangeParsesIntoOperationsWithPlaces) {
   const Statement statement = ParseStatement(kChange);
   CHECK_TEXT(std::holds_alternative<Change>(statement),
              FindingsOf(kChange).c_str());
@@ -96,8 +97,8 @@
   }
 }
 
-// One submission must name every wrong operation, not only the first.
-TEST(Statement, EveryWrongOperationIsReported) {
+// One submission must report every invalid operation, not only the first.
+TEST(Statement, EveryInvalidOperationIsReported) {
   STRCMP_EQUAL(
       "line 2 column 5: expected service, class, account, limit, data_centre "
       "or link\n"
@@ -141,9 +142,9 @@
   }
 }
 
-// Any cut or altered statement is either understood or answered with findings
-// that have a place; the parser neither crashes nor returns nothing.
-TEST(Statement, AlteredTextGivesFindingsWithAPlace) {
+// Any altered statement must either parse or give findings with a place; the
+// parser must neither crash nor fail without findings.
+TEST(Statement, AlteredStatementParsesOrGivesFindingsWithAPlace) {
   const auto check = [] {
     std::string text = *rc::gen::elementOf(std::vector<std::string>{
         kChange,
@@ -177,8 +178,8 @@
   CHECK(std::holds_alternative<HelpRequest>(ParseStatement("help requests")));
 }
 
-// A field that isn't on the page is found by nobody.
-TEST(Statement, PageNamesEveryColumnAndField) {
+// Operators can't find a field that is missing from docs/language.md.
+TEST(Statement, LanguagePageNamesEveryColumnAndField) {
   std::ifstream file(CASSIAUSHER_LANGUAGE_PAGE);
   const std::string page((std::istreambuf_iterator<char>(file)),
                          std::istreambuf_iterator<char>());
