--- a/tools/fake_endpoint/announcer.cc
+++ b/tools/fake_endpoint/announcer.cc
@@ -15,9 +15,9 @@
 constexpr std::int64_t kAnnouncePeriodUs = kMicrosPerSecond;
 constexpr std::int64_t kLoadSamplePeriodUs = 50 * kMicrosPerMilli;
 constexpr std::int64_t kCacheEventDelayUs = 200 * kMicrosPerMilli;
-constexpr double kCacheEventLoss = 0.02;
-constexpr std::size_t kCacheEventsPerAnnouncement = 512;
-constexpr std::size_t kCacheEventsKept = 4096;
+constexpr double kCacheEventLossRate = 0.02;
+constexpr std::size_t kMaxEventsPerAnnouncement = 512;
+constexpr std::size_t kMaxPendingCacheEvents = 4096;
 
 }  // namespace
 
@@ -45,20 +45,20 @@
 
 void Announcer::AddCacheEvent(bool stored, std::uint64_t prefix_hash) {
   ++cache_sequence_;
-  if (random_.Chance(kCacheEventLoss)) return;
+  if (random_.Chance(kCacheEventLossRate)) return;
   cache_events_.push_back(
       {.sequence = cache_sequence_,
        .stored = stored,
        .prefix_hash = prefix_hash,
        .visible_at_us = Timers::Now() + kCacheEventDelayUs});
-  if (cache_events_.size() > kCacheEventsKept) cache_events_.pop_front();
+  if (cache_events_.size() > kMaxPendingCacheEvents) cache_events_.pop_front();
 }
 
 void Announcer::TakeLoadSample() {
   load_samples_.push_back({Timers::Now(), get_load_()});
   const std::int64_t oldest =
       Timers::Now() - options_.load_lag_ms * kMicrosPerMilli;
-  // Keeps one sample that is at least as old as the lag.
+  // Keeps one sample that is at least load_lag_ms old.
   while (load_samples_.size() > 1 && load_samples_[1].at_us <= oldest) {
     load_samples_.pop_front();
   }
@@ -71,14 +71,15 @@
   const auto& [at_us, load] = load_samples_.front();
   json events = json::array();
   while (!cache_events_.empty() && cache_events_.front().visible_at_us <= now &&
-         events.size() < kCacheEventsPerAnnouncement) {
+         events.size() < kMaxEventsPerAnnouncement) {
     const CacheEvent& event = cache_events_.front();
     events.push_back({{"sequence", event.sequence},
                       {"kind", event.stored ? "stored" : "removed"},
                       {"prefix_hash", event.prefix_hash}});
     cache_events_.pop_front();
   }
-  // Memory for the longest prompts of the reference workloads in each slot.
+  // Enough KV cache per slot for the longest prompts of the reference
+  // workloads.
   constexpr std::int64_t kTokensPerSlot = 32'768;
   return {{"name", options_.name},
           {"data_centre", options_.data_centre},
@@ -119,7 +120,8 @@
   if (message == nullptr) return Announce(attempt + 1);
   soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
   if (!options_.announce_token_file.empty()) {
-    // Read each time, so that a rotated token is used without a restart.
+    // Read for each announcement, so that a rotated token takes effect without
+    // a restart.
     char* content = nullptr;
     if (g_file_get_contents(options_.announce_token_file.c_str(), &content,
                             nullptr, nullptr)) {
@@ -154,7 +156,7 @@
         const bool accepted =
             answer != nullptr && soup_message_get_status(request) == 200;
         if (answer != nullptr) g_bytes_unref(answer);
-        // The announcer is gone after a cancellation.
+        // After a cancellation the announcer may have been deleted.
         if (cancelled) return;
         Announcer* self = sent->self;
         if (accepted) {
--- a/tools/fake_endpoint/answer_text.cc
+++ b/tools/fake_endpoint/answer_text.cc
@@ -38,11 +38,11 @@
 std::int64_t AnswerLength(std::uint32_t prompt_hash,
                           std::int64_t typical_tokens,
                           std::int64_t max_tokens) {
-  constexpr std::int64_t kSteps = 1000;
-  // The factor in thousandths, from 500 to 1,499.
-  const std::int64_t factor = kSteps / 2 + prompt_hash % kSteps;
+  constexpr std::int64_t kFactorScale = 1000;
+  // Length factor in thousandths, from 500 to 1,499.
+  const std::int64_t factor = kFactorScale / 2 + prompt_hash % kFactorScale;
   const std::int64_t length =
-      std::max<std::int64_t>(1, typical_tokens * factor / kSteps);
+      std::max<std::int64_t>(1, typical_tokens * factor / kFactorScale);
   return max_tokens > 0 ? std::min(length, max_tokens) : length;
 }
 
--- a/tools/fake_endpoint/fake_endpoint.cc
+++ b/tools/fake_endpoint/fake_endpoint.cc
@@ -21,25 +21,27 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr guint kClientTimeoutSeconds = 10;
-/// Section 2 of the design: no new work later than this after a departure.
+/// Section 2 of the design: an endpoint must get no new work later than this
+/// after it announced its departure.
 constexpr std::int64_t kDepartureGraceUs = 2 * kMicrosPerSecond;
-/// A departing process stays at least this long, so that new work after the
-/// grace time is seen and not merely a refused connection.
-constexpr std::int64_t kDepartureLingerUs = 3 * kMicrosPerSecond;
-/// How long the text of a finished request can be asked for again.
+/// A departing process runs at least this long, so that new work after the
+/// grace period is counted instead of failing as a refused connection.
+constexpr std::int64_t kMinDepartureUs = 3 * kMicrosPerSecond;
+/// How long a finished stream can be resumed.
 constexpr std::int64_t kFinishedRetentionUs = 10 * kMicrosPerSecond;
-/// Calls that may wait for a slot or for prefill; more are 503 `overloaded`.
-constexpr std::size_t kQueueLimit = 1024;
-/// Tokens that one request generates in a turn at step 0.
-constexpr std::int64_t kTokensPerTurn = 64;
-/// A client that doesn't read holds its request back at this many bytes.
-constexpr std::int64_t kUnwrittenLimit = 256 * 1024;
-constexpr std::size_t kPrefixLimit = 4096;
-constexpr std::size_t kSmallestPrefix = 1024;
-constexpr std::size_t kCharactersPerToken = 4;
-constexpr std::size_t kOrdersKept = 1000;
-
-std::string HeaderOf(SoupServerMessage* message, const char* name) {
+/// Maximum number of requests waiting for a slot or for prefill; further ones
+/// get status 503 `overloaded`.
+constexpr std::size_t kMaxQueuedRequests = 1024;
+/// Tokens generated per request and main loop iteration when step_ms is 0.
+constexpr std::int64_t kTokensPerIteration = 64;
+/// Generation pauses at this many unwritten bytes if the client doesn't read.
+constexpr std::int64_t kMaxUnwrittenBytes = 256 * 1024;
+constexpr std::size_t kMaxCachedPrefixes = 4096;
+constexpr std::size_t kMinPrefixBytes = 1024;
+constexpr std::size_t kBytesPerToken = 4;
+constexpr std::size_t kMaxRecordedOrders = 1000;
+
+std::string GetHeader(SoupServerMessage* message, const char* name) {
   const char* value = soup_message_headers_get_one(
       soup_server_message_get_request_headers(message), name);
   return value == nullptr ? std::string() : std::string(value);
@@ -51,8 +53,9 @@
   return value;
 }
 
-// Executions are counted by key, else by the caller's own request id: what the
-// router adds to it after "~" differs between tries.
+// Executions are counted by idempotency key or, without one, by the caller's
+// request id without the router's suffix, which starts with "~" and differs
+// between attempts.
 std::string ExecutionKey(const std::string& key,
                          const std::string& request_id) {
   if (!key.empty()) return key;
@@ -61,26 +64,26 @@
   return request_id.substr(0, suffix);
 }
 
-std::int64_t IntegerIn(const json& body, const char* name,
-                       std::int64_t fallback) {
+std::int64_t GetInteger(const json& body, const char* name,
+                        std::int64_t fallback) {
   const auto found = body.find(name);
   return found != body.end() && found->is_number_integer()
              ? found->get<std::int64_t>()
              : fallback;
 }
 
-std::string TextIn(const json& body, const char* name) {
+std::string GetString(const json& body, const char* name) {
   const auto found = body.find(name);
   return found != body.end() && found->is_string() ? found->get<std::string>()
                                                    : std::string();
 }
 
-bool FlagIn(const json& body, const char* name) {
+bool GetBool(const json& body, const char* name) {
   const auto found = body.find(name);
   return found != body.end() && found->is_boolean() && found->get<bool>();
 }
 
-std::string Quoted(const std::string& text) { return json(text).dump(); }
+std::string ToJsonString(const std::string& text) { return json(text).dump(); }
 
 }  // namespace
 
@@ -106,7 +109,7 @@
   return false;
 }
 
-/// One request on this endpoint, from arrival to release.
+/// One request on this endpoint, from its arrival until it is released.
 struct FakeEndpoint::Session {
   std::string id;
   std::string request_id;
@@ -117,7 +120,7 @@
   Phase phase = Phase::kQueued;
   bool chat = false;
   bool stream = false;
-  /// The KV cache is kept for a decode engine instead of decoding here.
+  /// Prefill only: the KV cache is retained for export to a decode engine.
   bool for_remote_decode = false;
   bool holds_slot = false;
   bool released = false;
@@ -131,16 +134,17 @@
   GCancellable* import = nullptr;
   Timers::Id timer{};
 
-  /// Length of the whole answer; tokens up to `resumed_at` were delivered
-  /// from elsewhere. Invariant: resumed_at <= sent <= produced <= total.
+  /// Token counts. `total` is the length of the whole answer; the tokens up to
+  /// `resumed_at` were delivered by another engine.
+  /// Invariant: resumed_at <= sent <= produced <= total.
   std::int64_t total = 0;
   std::int64_t resumed_at = 0;
   std::int64_t produced = 0;
   std::int64_t sent = 0;
   bool finish_sent = false;
-  bool counted = false;
-  bool limited_by_caller = false;
-  /// Chunk that a fault makes late; written after the next one.
+  bool execution_counted = false;
+  bool limited_by_max_tokens = false;
+  /// Chunk delayed by a fault; written after the next one.
   std::string late_chunk;
   std::shared_ptr<Reply> reply;
 };
@@ -182,10 +186,10 @@
     soup_server_disconnect(server_);
     g_object_unref(server_);
   }
-  // Callbacks of cancelled calls refer to this object.
-  constexpr int kTurns = 100;
-  for (int i = 0; i < kTurns && g_main_context_iteration(context_, FALSE);
-       ++i) {
+  // Runs the callbacks of cancelled requests, which refer to this object.
+  constexpr int kMaxIterations = 100;
+  for (int i = 0;
+       i < kMaxIterations && g_main_context_iteration(context_, FALSE); ++i) {
   }
   g_object_unref(client_);
   g_main_context_unref(context_);
@@ -199,11 +203,11 @@
     g_clear_error(&error);
     return text;
   };
-  // A socket of our own, since libsoup's has a short accept queue.
-  constexpr int kAcceptQueue = 4096;
+  // Creates the socket here, since libsoup's own has a short listen backlog.
+  constexpr int kListenBacklog = 4096;
   GSocketAddress* address = g_inet_socket_address_new_from_string(
       options_.host.c_str(), options_.port);
-  if (address == nullptr) return "listen: no numeric IP address";
+  if (address == nullptr) return "listen: address is not a numeric IP address";
   GSocket* socket =
       g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
                    G_SOCKET_PROTOCOL_TCP, &error);
@@ -211,7 +215,7 @@
     g_object_unref(address);
     return failure("socket");
   }
-  g_socket_set_listen_backlog(socket, kAcceptQueue);
+  g_socket_set_listen_backlog(socket, kListenBacklog);
   const bool bound = g_socket_bind(socket, address, TRUE, &error) &&
                      g_socket_listen(socket, &error);
   g_object_unref(address);
@@ -249,13 +253,14 @@
 }
 
 void FakeEndpoint::CheckDeparted() {
-  constexpr std::int64_t kPollUs = 20 * kMicrosPerMilli;
+  constexpr std::int64_t kPollPeriodUs = 20 * kMicrosPerMilli;
   const bool idle = sessions_.empty() && plain_running_ == 0;
-  const bool lingered =
+  const bool min_time_passed =
       options_.announce_urls.empty() ||
-      Timers::Now() - departing_since_us_ >= kDepartureLingerUs;
-  if (!idle || !lingered) {
-    timers_.Schedule(Timers::Now() + kPollUs, [this] { CheckDeparted(); });
+      Timers::Now() - departing_since_us_ >= kMinDepartureUs;
+  if (!idle || !min_time_passed) {
+    timers_.Schedule(Timers::Now() + kPollPeriodUs,
+                     [this] { CheckDeparted(); });
     return;
   }
   if (on_departed_) on_departed_();
@@ -288,11 +293,11 @@
             .path = path,
             .body = std::string(body->data == nullptr ? "" : body->data,
                                 static_cast<std::size_t>(body->length)),
-            .request_id = HeaderOf(message, "X-Request-Id"),
-            .key = HeaderOf(message, "Idempotency-Key"),
-            .pool = HeaderOf(message, "Cassiausher-Pool"),
-            .epoch = HeaderOf(message, "Cassiausher-Epoch"),
-            .last_event = HeaderOf(message, "Last-Event-ID")};
+            .request_id = GetHeader(message, "X-Request-Id"),
+            .key = GetHeader(message, "Idempotency-Key"),
+            .pool = GetHeader(message, "Cassiausher-Pool"),
+            .epoch = GetHeader(message, "Cassiausher-Epoch"),
+            .last_event = GetHeader(message, "Last-Event-ID")};
   static_cast<FakeEndpoint*>(self)->Dispatch(call);
 }
 
@@ -354,7 +359,7 @@
     return call.reply->SendError(500, "engine_error",
                                  "error caused by a fault");
   }
-  if (slot_queue_.size() + prefill_queue_.size() >= kQueueLimit) {
+  if (slot_queue_.size() + prefill_queue_.size() >= kMaxQueuedRequests) {
     return call.reply->SendError(503, "overloaded", "the queue is full");
   }
   auto session = std::make_shared<Session>();
@@ -362,27 +367,27 @@
       fmt::format("{}-{}-{}", options_.name,
                   announcer_->incarnation() % 1'000'000, next_session_);
   session->request_id = call.request_id.empty() ? session->id : call.request_id;
-  session->quoted_request_id = Quoted(session->request_id);
+  session->quoted_request_id = ToJsonString(session->request_id);
   session->execution_key = ExecutionKey(call.key, session->request_id);
-  session->queue_key = {IntegerIn(body, "priority", 0), next_session_++};
+  session->queue_key = {GetInteger(body, "priority", 0), next_session_++};
   session->chat = chat;
-  session->stream = FlagIn(body, "stream");
+  session->stream = GetBool(body, "stream");
   session->prompt = ExtractPrompt(body);
   session->prompt_hash = TextHash(session->prompt);
   session->prompt_tokens = EstimateTokens(session->prompt);
   session->resumed_at = std::max<std::int64_t>(
-      0, IntegerIn(body, "cassiausher_resume_tokens", 0));
-  const std::int64_t max_tokens = IntegerIn(body, "max_tokens", 0);
+      0, GetInteger(body, "cassiausher_resume_tokens", 0));
+  const std::int64_t max_tokens = GetInteger(body, "max_tokens", 0);
   session->total =
       AnswerLength(session->prompt_hash, options_.output_tokens, max_tokens);
-  session->limited_by_caller = session->total == max_tokens;
+  session->limited_by_max_tokens = session->total == max_tokens;
   session->resumed_at = std::min(session->resumed_at, session->total);
   session->produced = session->sent = session->resumed_at;
   session->reply = call.reply;
   const auto transfer = body.find("kv_transfer_params");
   if (transfer != body.end() && transfer->is_object()) {
-    session->for_remote_decode = FlagIn(*transfer, "do_remote_decode");
-    if (FlagIn(*transfer, "do_remote_prefill"))
+    session->for_remote_decode = GetBool(*transfer, "do_remote_decode");
+    if (GetBool(*transfer, "do_remote_prefill"))
       session->kv_transfer = *transfer;
   }
   sessions_.emplace(session->id, session);
@@ -444,7 +449,7 @@
 
 void FakeEndpoint::StartImport(const SessionPtr& session) {
   session->phase = Phase::kImporting;
-  session->kv_bytes = IntegerIn(session->kv_transfer, "kv_bytes", 0);
+  session->kv_bytes = GetInteger(session->kv_transfer, "kv_bytes", 0);
   held_kv_bytes_ += session->kv_bytes;
   const json& blocks = session->kv_transfer["remote_block_ids"];
   const std::string block =
@@ -452,11 +457,11 @@
           ? blocks[0].get<std::string>()
           : std::string();
   const std::string url = fmt::format(
-      "http://{}:{}/kv/export", TextIn(session->kv_transfer, "remote_host"),
-      IntegerIn(session->kv_transfer, "remote_port", 0));
+      "http://{}:{}/kv/export", GetString(session->kv_transfer, "remote_host"),
+      GetInteger(session->kv_transfer, "remote_port", 0));
   SoupMessage* message = soup_message_new("POST", url.c_str());
   if (message == nullptr) return OnImported(session, 0);
-  // Without this flag libsoup opens a connection for each POST.
+  // Without this flag libsoup opens a new connection for each POST.
   soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
   const std::string body = json({{"session", block}}).dump();
   GBytes* bytes = g_bytes_new(body.data(), body.size());
@@ -484,11 +489,11 @@
               static_cast<const char*>(g_bytes_get_data(answer, nullptr)) +
                   g_bytes_get_size(answer),
               nullptr, false);
-          // The text follows the imported KV cache, so that a cache of
-          // another prompt shows as a mixed answer.
+          // The text is generated from the imported KV cache, so that the
+          // checker detects a cache of another prompt as a mixed answer.
           if (status == 200 && export_answer.is_object()) {
             import->session->prompt_hash = static_cast<std::uint32_t>(
-                IntegerIn(export_answer, "prompt_hash", 0));
+                GetInteger(export_answer, "prompt_hash", 0));
           }
           g_bytes_unref(answer);
         }
@@ -518,7 +523,7 @@
     prefill_queue_.erase(prefill_queue_.begin());
     BeginPrefill(session);
     const std::int64_t now = Timers::Now();
-    // A prefill whose time is over already doesn't wait for a timer's turn.
+    // A prefill whose end has already passed completes without a timer.
     if (prefill_free_at_us_ <= now && faults_.stall_until_us <= now) {
       OnPrefilled(session);
       continue;
@@ -544,7 +549,7 @@
   const double seconds =
       static_cast<double>(session->prompt_tokens - session->cached_tokens) /
       options_.prefill_tokens_per_second;
-  // The next prefill starts when the one before ended, not when its timer
+  // The next prefill starts at the end of the previous one, not when its timer
   // ran, so that timer delays don't lower the rate.
   constexpr std::int64_t kTimerSlackUs = 2000;
   const std::int64_t now = Timers::Now();
@@ -592,17 +597,17 @@
 
 std::int64_t FakeEndpoint::LookUpAndCachePrefixes(std::string_view prompt) {
   std::int64_t cached = 0;
-  for (std::size_t length = kSmallestPrefix; length <= prompt.size();
+  for (std::size_t length = kMinPrefixBytes; length <= prompt.size();
        length *= 2) {
     const std::uint64_t hash = XXH3_64bits(prompt.data(), length);
     if (!cached_prefixes_.insert(hash).second) {
-      cached = static_cast<std::int64_t>(length / kCharactersPerToken);
+      cached = static_cast<std::int64_t>(length / kBytesPerToken);
       continue;
     }
     prefix_insertion_order_.push_back(hash);
     announcer_->AddCacheEvent(true, hash);
   }
-  while (prefix_insertion_order_.size() > kPrefixLimit) {
+  while (prefix_insertion_order_.size() > kMaxCachedPrefixes) {
     cached_prefixes_.erase(prefix_insertion_order_.front());
     announcer_->AddCacheEvent(false, prefix_insertion_order_.front());
     prefix_insertion_order_.pop_front();
@@ -612,7 +617,7 @@
 
 void FakeEndpoint::OnKvExport(const Call& call) {
   const json body = json::parse(call.body, nullptr, false);
-  const std::string id = body.is_object() ? TextIn(body, "session") : "";
+  const std::string id = body.is_object() ? GetString(body, "session") : "";
   const auto found = sessions_.find(id);
   if (found == sessions_.end() || found->second->phase != Phase::kRetained) {
     return call.reply->SendError(404, "kv_not_found",
@@ -660,9 +665,10 @@
   const std::int64_t now = Timers::Now();
   if (now < faults_.stall_until_us) return ScheduleStep();
   const std::int64_t step_us = options_.step_ms * kMicrosPerMilli;
-  // Steps that a late timer missed are made up.
-  const std::int64_t count =
-      step_us == 0 ? kTokensPerTurn : 1 + (now - next_step_at_us_) / step_us;
+  // A late timer also runs the steps that it missed.
+  const std::int64_t count = step_us == 0
+                                 ? kTokensPerIteration
+                                 : 1 + (now - next_step_at_us_) / step_us;
   const std::vector<SessionPtr> batch = decoding_;
   for (const SessionPtr& session : batch) {
     if (!session->released) Generate(session, count);
@@ -674,9 +680,9 @@
 }
 
 void FakeEndpoint::Generate(const SessionPtr& session, std::int64_t count) {
-  if (session->reply->unwritten_bytes() > kUnwrittenLimit) return;
-  if (!session->counted) {
-    session->counted = true;
+  if (session->reply->unwritten_bytes() > kMaxUnwrittenBytes) return;
+  if (!session->execution_counted) {
+    session->execution_counted = true;
     ++execution_counts_[session->execution_key];
   }
   session->produced = std::min(session->produced + count, session->total);
@@ -702,7 +708,8 @@
   const bool slow_path = faults_.late_rate > 0 || faults_.repeat_rate > 0 ||
                          !session.late_chunk.empty() ||
                          faults_.die_after_tokens >= 0;
-  // A silent connection's chunks stay with the session for a resumption.
+  // On a silent connection the tokens stay unsent, so that a resumed stream
+  // delivers them.
   if (session.reply->silent()) return;
   while (session.sent < session.produced) {
     ++session.sent;
@@ -752,7 +759,7 @@
                  R"("completion_tokens":{},"total_tokens":{}}}}}
 
 )",
-                 session.limited_by_caller ? "length" : "stop",
+                 session.limited_by_max_tokens ? "length" : "stop",
                  session.prompt_tokens, session.total,
                  session.prompt_tokens + session.total);
 }
@@ -765,7 +772,7 @@
     }
     json choice = {
         {"index", 0},
-        {"finish_reason", session->limited_by_caller ? "length" : "stop"}};
+        {"finish_reason", session->limited_by_max_tokens ? "length" : "stop"}};
     if (session->chat) {
       choice["message"] = {{"role", "assistant"}, {"content", text}};
     } else {
@@ -822,7 +829,7 @@
     prefill_free_at_us_ = std::min(prefill_free_at_us_, Timers::Now());
   }
   if (session->holds_slot) --slots_used_;
-  // Later, since a caller of Release may be going through the queues.
+  // Deferred, since a caller of Release may be iterating over the queues.
   timers_.Schedule(Timers::Now(), [this] {
     StartNextPrefill();
     AssignSlots();
@@ -838,7 +845,7 @@
 void FakeEndpoint::OnCancel(const Call& call) {
   const json body = json::parse(call.body, nullptr, false);
   const std::string request_id =
-      body.is_object() ? TextIn(body, "request_id") : "";
+      body.is_object() ? GetString(body, "request_id") : "";
   if (faults_.refuse_cancels) {
     return call.reply->SendError(500, "cancel_refused",
                                  "cancels are refused by a fault");
@@ -895,27 +902,28 @@
 
 void FakeEndpoint::OnOrder(const Call& call) {
   const json body = json::parse(call.body, nullptr, false);
-  const std::string order = body.is_object() ? TextIn(body, "order") : "";
+  const std::string order = body.is_object() ? GetString(body, "order") : "";
   const bool known = order == "load_model" || order == "load_adapter" ||
                      order == "load_version" || order == "set_role" ||
                      order == "evict_prefixes";
   if (!known) {
     return call.reply->SendError(400, "invalid_order", "unknown order");
   }
-  const std::string pool = call.pool.empty() ? TextIn(body, "pool") : call.pool;
-  const bool accepted =
-      CheckEpoch(pool, static_cast<std::uint64_t>(IntegerIn(body, "epoch", 0)));
+  const std::string pool =
+      call.pool.empty() ? GetString(body, "pool") : call.pool;
+  const bool accepted = CheckEpoch(
+      pool, static_cast<std::uint64_t>(GetInteger(body, "epoch", 0)));
   json record = body;
   record["accepted"] = accepted;
   orders_.push_back(std::move(record));
-  if (orders_.size() > kOrdersKept) orders_.erase(orders_.begin());
+  if (orders_.size() > kMaxRecordedOrders) orders_.erase(orders_.begin());
   if (!accepted) {
     return call.reply->SendError(409, "stale_epoch",
                                  "the epoch is lower than one seen");
   }
-  if (order == "set_role") ParseRole(TextIn(body, "role"), &options_.role);
-  if (order == "load_model" && !TextIn(body, "model").empty()) {
-    announcer_->AddModel(TextIn(body, "model"));
+  if (order == "set_role") ParseRole(GetString(body, "role"), &options_.role);
+  if (order == "load_model" && !GetString(body, "model").empty()) {
+    announcer_->AddModel(GetString(body, "model"));
   }
   if (order == "evict_prefixes") {
     for (const std::uint64_t hash : prefix_insertion_order_)
@@ -933,19 +941,20 @@
     return call.reply->SendError(400, "invalid_body", "body is no JSON object");
   }
   FaultChange change{.faults = faults_};
-  const std::string wrong = ParseFaults(body, Timers::Now(), &change);
-  if (!wrong.empty()) {
+  const std::string invalid_fields = ParseFaults(body, Timers::Now(), &change);
+  if (!invalid_fields.empty()) {
     return call.reply->SendError(400, "invalid_fault",
-                                 "unknown or out of range: " + wrong);
+                                 "unknown or out of range: " + invalid_fields);
   }
   faults_ = change.faults;
   options_.honours_fencing =
       change.honours_fencing.value_or(options_.honours_fencing);
   call.reply->Send(200, body.dump());
   if (change.silence) {
-    // After the answer is out, since its connection becomes silent, too.
-    constexpr std::int64_t kAnswerTimeUs = 5 * kMicrosPerMilli;
-    timers_.Schedule(Timers::Now() + kAnswerTimeUs,
+    // Delayed until the answer is written, since its connection becomes silent
+    // too.
+    constexpr std::int64_t kSilenceDelayUs = 5 * kMicrosPerMilli;
+    timers_.Schedule(Timers::Now() + kSilenceDelayUs,
                      [] { Reply::SilenceOpenConnections(); });
   }
   if (change.depart) Depart(nullptr);
--- a/tools/fake_endpoint/hangup_watcher.cc
+++ b/tools/fake_endpoint/hangup_watcher.cc
@@ -38,13 +38,13 @@
 }
 
 void HangupWatcher::OnEvents() {
-  constexpr int kEvents = 256;
-  epoll_event events[kEvents];
-  const int count = epoll_wait(epoll_fd_, events, kEvents, 0);
+  constexpr int kMaxEvents = 256;
+  epoll_event events[kMaxEvents];
+  const int count = epoll_wait(epoll_fd_, events, kMaxEvents, 0);
   for (int i = 0; i < count; ++i) {
     const auto found = watched_.find(events[i].data.fd);
     if (found == watched_.end()) continue;
-    // A copy, since the callback may forget the connection.
+    // Copied, since the callback may call Unwatch, which erases the element.
     const std::function<void()> on_closed = found->second;
     on_closed();
   }
--- a/tools/fake_endpoint/main.cc
+++ b/tools/fake_endpoint/main.cc
@@ -1,4 +1,4 @@
-// Command line of the stand-in endpoint.
+// Command line of the fake endpoint.
 #include <docopt/docopt.h>
 #include <fmt/format.h>
 #include <glib-unix.h>
@@ -16,11 +16,12 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(cassiausher_fake_endpoint - stand-in for an engine or a plain service
+    R"(cassiausher_fake_endpoint - simulated model engine or plain service
 
 Serves the endpoint protocol of cassiausher with generated answers, for demos
-and tests. GET /fake/state shows what it holds and ran; POST /fake/fault makes
-it misbehave. SIGTERM announces the departure, ends what runs and exits.
+and tests. GET /fake/state returns the held sessions and execution counts; POST
+/fake/fault injects faults. On SIGTERM it announces its departure, finishes the
+running requests and exits.
 
 Usage:
   cassiausher_fake_endpoint --name NAME --service SERVICE [options]
@@ -29,54 +30,56 @@
 
 Options:
   --name NAME                 Name, unique in the deployment.
-  --service SERVICE           Service that it belongs to.
+  --service SERVICE           Service that the endpoint belongs to.
   --data-centre NAME          Data centre [default: local].
   --role ROLE                 prefill, decode or plain [default: decode].
-  --listen ADDRESS            Numeric address and port; port 0 takes a free one
+  --listen ADDRESS            Numeric address and port; 0 picks a free port
                               [default: 127.0.0.1:0].
   --announce URLS             Admin URLs of instances, separated by commas.
   --announce-token-file FILE  File with the endpoint token.
-  --slots N                   Requests that decode at once [default: 20].
+  --slots N                   Requests that decode concurrently [default: 20].
   --prefill-rate RATE         Prompt tokens per second [default: 20000].
   --step-ms MS                Time between tokens, 0 for as fast as possible;
-                              time that a plain call takes [default: 20].
-  --output-tokens N           Typical length of an answer; each prompt's own
-                              lies from half of to one and a half times it
+                              processing time of a plain request [default: 20].
+  --output-tokens N           Typical length of an answer in tokens; it varies
+                              by prompt from 0.5 to 1.5 times this value
                               [default: 100].
-  --retention-ms MS           Life of a prefill result [default: 800].
-  --link-bytes-per-second N   Rate of KV cache exports [default: 1000000000].
-  --kv-bytes-per-token N      Size of the KV cache [default: 1000].
-  --load-lag-ms MS            Lag of load reports [default: 250].
-  --fencing MODE              honour or ignore old fencing numbers
-                              [default: honour].
-  --state-file FILE           Writes the last state to FILE at the exit.
-  --seed N                    Seed of faults and lost events [default: 1].
+  --retention-ms MS           Lifetime of a prefill result [default: 800].
+  --link-bytes-per-second N   KV cache export bandwidth
+                              [default: 1000000000].
+  --kv-bytes-per-token N      KV cache size per token [default: 1000].
+  --load-lag-ms MS            Age of reported load [default: 250].
+  --fencing MODE              whether to honour or ignore fencing epochs; stale
+                              ones are rejected or accepted [default: honour].
+  --state-file FILE           Writes the final state to FILE on exit.
+  --seed N                    Seed of random faults and lost cache events
+                              [default: 1].
   -h --help                   Show this page.
   --version                   Show the version.
 
-Faults (body of POST /fake/fault, any of):
-  {"stall_ms":N}              answers stop for N ms
-  {"silence":true}            connections open now go silent for good
-  {"late_rate":P}             share of chunks that follow their successor
-  {"repeat_rate":P}           share of chunks sent twice
-  {"error_rate":P}            share of calls answered with status 500
-  {"refuse_cancels":true}     cancels are refused
-  {"fencing":"ignore"}        old fencing numbers are accepted
-  {"die_after_tokens":N}      the process exits in the middle of a stream
-  {"depart":true}             announces the departure without exiting
-  {"clear":true}              ends rates, stall and refusals
+Faults (JSON body of POST /fake/fault; fields can be combined):
+  {"stall_ms":N}              processing stops for N ms
+  {"silence":true}            open connections send nothing more, permanently
+  {"late_rate":P}             fraction of chunks sent after the next chunk
+  {"repeat_rate":P}           fraction of chunks sent twice
+  {"error_rate":P}            fraction of requests answered with status 500
+  {"refuse_cancels":true}     cancel requests fail with status 500
+  {"fencing":"ignore"}        stale epochs are accepted
+  {"die_after_tokens":N}      the process exits after N more tokens
+  {"depart":true}             announces the departure but keeps running
+  {"clear":true}              ends all faults but silence, fencing and depart
 )";
 
 constexpr int kExitUsage = 2;
 
-bool ReadListen(const std::string& listen, EndpointOptions* options) {
+bool ParseListenAddress(const std::string& listen, EndpointOptions* options) {
   const std::size_t colon = listen.rfind(':');
   if (colon == std::string::npos) return false;
   const std::string port = listen.substr(colon + 1);
-  constexpr int kHighestPort = 65535;
+  constexpr int kMaxPort = 65535;
   char* end = nullptr;
   const long number = std::strtol(port.c_str(), &end, 10);
-  if (port.empty() || *end != '\0' || number < 0 || number > kHighestPort) {
+  if (port.empty() || *end != '\0' || number < 0 || number > kMaxPort) {
     return false;
   }
   options->host = listen.substr(0, colon);
@@ -85,30 +88,30 @@
 }
 
 EndpointOptions ReadOptions(OptionReader& reader) {
-  constexpr std::int64_t kLongestMs = 600'000;
-  constexpr double kHighestRate = 1e15;
+  constexpr std::int64_t kMaxDurationMs = 600'000;
+  constexpr double kMaxRate = 1e15;
   EndpointOptions options;
   options.name = reader.Required("--name");
   options.service = reader.Required("--service");
   options.data_centre = reader.Required("--data-centre");
   ParseRole(reader.Choice("--role", {"prefill", "decode", "plain"}),
             &options.role);
-  if (!ReadListen(reader.Text("--listen"), &options)) {
-    reader.AddFinding("--listen", "is no ADDRESS:PORT");
+  if (!ParseListenAddress(reader.Text("--listen"), &options)) {
+    reader.AddFinding("--listen", "is not ADDRESS:PORT");
   }
   options.announce_urls = Split(reader.Text("--announce"), ',');
   options.announce_token_file = reader.Text("--announce-token-file");
   options.slots = reader.Integer("--slots", 1, 1'000'000);
   options.prefill_tokens_per_second =
-      reader.Number("--prefill-rate", 1, kHighestRate);
-  options.step_ms = reader.Integer("--step-ms", 0, kLongestMs);
+      reader.Number("--prefill-rate", 1, kMaxRate);
+  options.step_ms = reader.Integer("--step-ms", 0, kMaxDurationMs);
   options.output_tokens = reader.Integer("--output-tokens", 1, 1'000'000);
-  options.retention_ms = reader.Integer("--retention-ms", 1, kLongestMs);
+  options.retention_ms = reader.Integer("--retention-ms", 1, kMaxDurationMs);
   options.link_bytes_per_second =
-      reader.Number("--link-bytes-per-second", 1, kHighestRate);
+      reader.Number("--link-bytes-per-second", 1, kMaxRate);
   options.kv_bytes_per_token =
       reader.Integer("--kv-bytes-per-token", 0, 100'000'000);
-  options.load_lag_ms = reader.Integer("--load-lag-ms", 0, kLongestMs);
+  options.load_lag_ms = reader.Integer("--load-lag-ms", 0, kMaxDurationMs);
   options.honours_fencing =
       reader.Choice("--fencing", {"honour", "ignore"}) == "honour";
   options.seed =
@@ -134,12 +137,12 @@
   }
   Log(LogLevel::kInfo, "listening", {{"url", endpoint.url()}});
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
-  struct Stop {
+  struct ShutdownContext {
     FakeEndpoint* endpoint;
     GMainLoop* loop;
   } stop{&endpoint, loop};
   const GSourceFunc depart = [](gpointer data) {
-    Stop* target = static_cast<Stop*>(data);
+    ShutdownContext* target = static_cast<ShutdownContext*>(data);
     target->endpoint->Depart([target] { g_main_loop_quit(target->loop); });
     return static_cast<gboolean>(G_SOURCE_CONTINUE);
   };
--- a/tools/fake_endpoint/option_reader.cc
+++ b/tools/fake_endpoint/option_reader.cc
@@ -31,8 +31,8 @@
       value >= min && value <= max) {
     return value;
   }
-  AddFinding(name,
-             fmt::format("'{}' is no integer from {} to {}", text, min, max));
+  AddFinding(name, fmt::format("'{}' is not an integer from {} to {}", text,
+                               min, max));
   return min;
 }
 
@@ -46,7 +46,7 @@
     return value;
   }
   AddFinding(name,
-             fmt::format("'{}' is no number from {} to {}", text, min, max));
+             fmt::format("'{}' is not a number from {} to {}", text, min, max));
   return min;
 }
 
@@ -60,7 +60,7 @@
                                  const std::vector<std::string>& choices) {
   std::string text = Text(name);
   if (std::find(choices.begin(), choices.end(), text) == choices.end()) {
-    AddFinding(name, fmt::format("'{}' is none of {}", text,
+    AddFinding(name, fmt::format("'{}' is not one of {}", text,
                                  fmt::join(choices, ", ")));
   }
   return text;
--- a/tools/fake_endpoint/reply.cc
+++ b/tools/fake_endpoint/reply.cc
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr const char* kSilentKey = "cassiausher-silent";
-constexpr const char* kKnownKey = "cassiausher-known";
+constexpr const char* kTrackedKey = "cassiausher-known";
 
-/// Sockets that carried a call and are still open.
+/// Open sockets that have carried at least one request.
 std::set<GSocket*>& OpenSockets() {
   static std::set<GSocket*>& sockets = *new std::set<GSocket*>();
   return sockets;
 }
 
-void ForgetSocket(gpointer socket) {
+void UntrackSocket(gpointer socket) {
   OpenSockets().erase(static_cast<GSocket*>(socket));
 }
 
-void RememberSocket(GSocket* socket) {
-  if (g_object_get_data(G_OBJECT(socket), kKnownKey) != nullptr) return;
+void TrackSocket(GSocket* socket) {
+  if (g_object_get_data(G_OBJECT(socket), kTrackedKey) != nullptr) return;
   OpenSockets().insert(socket);
-  g_object_set_data_full(G_OBJECT(socket), kKnownKey, socket, &ForgetSocket);
+  g_object_set_data_full(G_OBJECT(socket), kTrackedKey, socket, &UntrackSocket);
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
 
 void Reply::Attach() {
   soup_server_message_pause(message_);
-  // Either may come first; a stopped server sends "disconnected" alone.
+  // Either signal may come first; a stopped server emits only "disconnected".
   for (const char* signal : {"finished", "disconnected"}) {
     g_signal_connect_swapped(
         message_, signal, G_CALLBACK(+[](Reply* self) { self->OnFinished(); }),
@@ -62,9 +62,9 @@
   GSocket* socket = soup_server_message_get_socket(message_);
   if (socket == nullptr) return;
   socket_ = static_cast<GSocket*>(g_object_ref(socket));
-  RememberSocket(socket_);
-  // libsoup reads nothing while an answer is pending, so it doesn't see that
-  // the client closed.
+  TrackSocket(socket_);
+  // libsoup reads nothing while an answer is pending, so it doesn't notice that
+  // the client closed the connection.
   watched_fd_ = g_socket_get_fd(socket_);
   HangupWatcher::Instance().Watch(watched_fd_, [this] { OnPeerClosed(); });
 }
@@ -126,16 +126,17 @@
 void Reply::OnFinished() {
   finished_ = true;
   StopWatching();
-  const std::shared_ptr<Reply> keep = std::move(self_);
+  const std::shared_ptr<Reply> keep_alive = std::move(self_);
   if (!ended_) ReportClosed();
 }
 
 void Reply::OnPeerClosed() {
   if (finished_) return;
-  const std::shared_ptr<Reply> keep = shared_from_this();
+  const std::shared_ptr<Reply> keep_alive = shared_from_this();
   ReportClosed();
   if (finished_ || ended_) return;
-  // Lets libsoup find the closed connection and free the message.
+  // Completes the answer, so that libsoup detects the closed connection and
+  // frees the message.
   ended_ = true;
   if (soup_server_message_get_status(message_) == 0) {
     soup_server_message_set_status(message_, SOUP_STATUS_INTERNAL_SERVER_ERROR,
--- a/tools/fake_endpoint/timers.cc
+++ b/tools/fake_endpoint/timers.cc
@@ -43,8 +43,8 @@
 
 void Timers::RunExpired() {
   const std::int64_t now = Now();
-  // Timers added by an action wait for the next turn, so that sockets are
-  // served in between.
+  // Timers added by an action wait for the next main loop iteration, so that
+  // sockets are served in between.
   const std::uint64_t limit = next_sequence_;
   auto next = pending_.begin();
   while (next != pending_.end() && next->first.first <= now) {
