--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -450,7 +450,7 @@
   std::erase_if(followers_, [&](const auto& item) {
     if (now - item.second.heard_at < kFollowerLifetime) return false;
     Log(LogLevel::kWarning, "follower_lost", {{"from", item.first.value()}});
-    link_.Forget(item.first);
+    link_.Disconnect(item.first);
     return true;
   });
   std::set<InstanceId> seeds;
@@ -461,7 +461,7 @@
     if (now - item.second.learned_at < kControlLifetime) return false;
     if (seeds.contains(item.first)) return false;
     Log(LogLevel::kWarning, "control_lost", {{"control", item.first.value()}});
-    link_.Forget(item.first);
+    link_.Disconnect(item.first);
     return true;
   });
 }
--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -289,7 +289,7 @@
 void EntryNode::FollowControls(Time now) {
   std::erase_if(controls_, [&](const auto& item) {
     if (now - item.second.learned_at < kControlLifetime) return false;
-    link_.Forget(item.first);
+    link_.Disconnect(item.first);
     return true;
   });
   SendPlacements();
--- a/main/node_link.cc
+++ b/main/node_link.cc
@@ -42,7 +42,7 @@
   transport_.Send(to, message.SerializeAsString());
 }
 
-void NodeLink::Forget(const InstanceId& instance) {
+void NodeLink::Disconnect(const InstanceId& instance) {
   transport_.RemovePeer(instance);
 }
 
--- a/main/node_link.h
+++ b/main/node_link.h
@@ -33,7 +33,7 @@
   /// on the first use.
   void Send(const InstanceId& to, proto::NodeMessage message);
   /// Drops the connection to an instance that is gone.
-  void Forget(const InstanceId& instance);
+  void Disconnect(const InstanceId& instance);
 
  private:
   void OnBytes(std::string_view bytes);
