--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -291,7 +291,7 @@
 void EntryNode::SendFollowMessages(Time now) {
   std::erase_if(controls_, [&](const auto& item) {
     if (now - item.second.last_known_at < kControlLifetime) return false;
-    link_.Forget(item.first);
+    link_.Disconnect(item.first);
     return true;
   });
   SendPlacements();
