--- a/main/active_request.cc
+++ b/main/active_request.cc
@@ -108,22 +108,22 @@
 }
 
 void ActiveRequest::OnGranted(const PlacementGranted& granted, Time now) {
-  const bool wanted = !flow_.done() && !flow_.placed() &&
-                      granted.attempt == flow_.request().attempt;
-  if (wanted) {
+  const bool expected = !flow_.done() && !flow_.placed() &&
+                        granted.attempt == flow_.request().attempt;
+  if (expected) {
     placement_ = granted;
     last_offer_at_ = now;
     flow_.OnGrant(granted.grant, now);
     Apply(now);
     return;
   }
-  // A repeated grant of the present place is harmless; any other place must
-  // be given back.
-  const bool present =
+  // A duplicate of the current grant is harmless; any other placement must be
+  // returned to its pool.
+  const bool duplicate =
       flow_.placed() &&
       granted.pool.data_centre == placement_.pool.data_centre &&
       granted.attempt == placement_.attempt;
-  if (present) return;
+  if (duplicate) return;
   context_.to_control(PlacementProgress{
       request_.id, granted.pool, {FlowProgress::kCancelled, {}, {}}});
 }
@@ -150,8 +150,8 @@
 }
 
 void ActiveRequest::Tick(Time now) {
-  // The offer tells a new pool owner, and one that missed a message, that
-  // somebody waits for what the endpoint holds.
+  // The offer tells a new pool owner, or one that missed a message, that the
+  // request still needs what the endpoint holds.
   if (flow_.placed() && now - last_offer_at_ >= kOfferPeriod) {
     last_offer_at_ = now;
     context_.to_control(RequestOffered{flow_.ToAdopted(), placement_.pool});
@@ -176,7 +176,7 @@
     row.decode = placement_.grant.decode;
   }
   row.age = now - started_at_;
-  // The control task takes the class's target off.
+  // The control task subtracts the class's target.
   row.late =
       first_chunk_at_ == Time{} ? row.age : first_chunk_at_ - started_at_;
   return row;
@@ -257,8 +257,8 @@
 }
 
 void ActiveRequest::Execute(const StartDecode& output, Time) {
-  // A connection used before may be silent, or closed by the far end at the
-  // moment of the call, which would leave the outcome unknown.
+  // A reused connection may be dead, or closed by the endpoint at the moment of
+  // the call, which would leave the outcome unknown.
   const bool new_connection =
       output.resume || !request_.idempotent || flow_.request().attempt > 0;
   if (plain_) {
@@ -360,8 +360,8 @@
 }
 
 void ActiveRequest::Execute(const FailAnswer& output, Time) {
-  const bool unknown = output.kind == FailureKind::kOutcomeUnknown;
-  Counter& counter = unknown          ? context_.metrics.unknown_outcome
+  const bool outcome_unknown = output.kind == FailureKind::kOutcomeUnknown;
+  Counter& counter = outcome_unknown  ? context_.metrics.unknown_outcome
                      : output.not_run ? context_.metrics.refused
                                       : context_.metrics.failed;
   counter.Add();
@@ -373,8 +373,8 @@
     RespondError(*exchange_, error, request_.id.value());
     return;
   }
-  // The status line is sent; the error travels as an event, and the missing
-  // "[DONE]" shows that the answer isn't whole.
+  // The status line is already sent, so the error is sent as an event; the
+  // missing "[DONE]" shows that the answer is incomplete.
   unwritten_events_ +=
       fmt::format("event: error\ndata: {}\n\n", FormatError(error));
   exchange_->Write(unwritten_events_);
@@ -383,7 +383,7 @@
 }
 
 void ActiveRequest::Execute(const ReportProgress& output, Time) {
-  // Without a place only the pool that was asked knows the request.
+  // Without a placement only the pool that was asked for one knows the request.
   PoolAddress pool = placement_.pool;
   pool.service = request_.service;
   context_.to_control(PlacementProgress{request_.id, pool, output});
@@ -394,8 +394,8 @@
                                     std::string_view error, bool sent) {
   const Time now = MonotonicNow();
   PrefillResult result;
-  const bool whole = error.empty() && status == kStatusOk;
-  if (whole && context_.driver.ParsePrefill(body, &result)) {
+  const bool succeeded = error.empty() && status == kStatusOk;
+  if (succeeded && context_.driver.ParsePrefill(body, &result)) {
     flow_.OnPrefillDone(call, result, now);
   } else {
     flow_.OnPrefillFailed(call, OutcomeOf(status, sent), now);
--- a/main/announcement.cc
+++ b/main/announcement.cc
@@ -9,8 +9,8 @@
 namespace cassiausher {
 namespace {
 
-// Bounds of what an endpoint may claim. A claim past them is refused, so that a
-// faulty endpoint can't draw all work to itself.
+// Upper limits of the announced values. Larger values are rejected, so that a
+// faulty endpoint can't attract all work.
 constexpr std::int64_t kMaxSlots = 100000;
 constexpr std::int64_t kMaxBytes = std::int64_t{1} << 50;
 constexpr std::int64_t kMaxBytesPerToken = std::int64_t{1} << 30;
@@ -18,12 +18,12 @@
 constexpr std::int64_t kMaxCount = 1000000;
 constexpr std::int64_t kMaxTokens = std::int64_t{1} << 40;
 constexpr std::int64_t kMaxAgeMs = 3600000;
-constexpr std::int64_t kMaxNumber = INT64_MAX;
+constexpr std::int64_t kMaxInteger = INT64_MAX;
 
-std::int64_t ReadNumber(JsonReader& reader, const char* key,
-                        std::int64_t highest) {
+std::int64_t ReadInteger(JsonReader& reader, const char* key,
+                         std::int64_t max) {
   std::int64_t value = 0;
-  reader.Read(key, &value, 0, highest);
+  reader.Read(key, &value, 0, max);
   return value;
 }
 
@@ -49,21 +49,21 @@
 
 void ReadLoad(JsonReader& load, proto::LoadReport* report) {
   report->set_sequence(
-      static_cast<std::uint64_t>(ReadNumber(load, "sequence", kMaxNumber)));
-  report->set_age_us(ReadNumber(load, "age_ms", kMaxAgeMs) * 1000);
+      static_cast<std::uint64_t>(ReadInteger(load, "sequence", kMaxInteger)));
+  report->set_age_us(ReadInteger(load, "age_ms", kMaxAgeMs) * 1000);
   report->set_running(
-      static_cast<std::int32_t>(ReadNumber(load, "running", kMaxCount)));
+      static_cast<std::int32_t>(ReadInteger(load, "running", kMaxCount)));
   report->set_waiting(
-      static_cast<std::int32_t>(ReadNumber(load, "waiting", kMaxCount)));
+      static_cast<std::int32_t>(ReadInteger(load, "waiting", kMaxCount)));
   report->set_queued_prompt_tokens(
-      ReadNumber(load, "queued_prompt_tokens", kMaxTokens));
-  report->set_kv_bytes(ReadNumber(load, "kv_bytes", kMaxBytes));
+      ReadInteger(load, "queued_prompt_tokens", kMaxTokens));
+  report->set_kv_bytes(ReadInteger(load, "kv_bytes", kMaxBytes));
 }
 
 void ReadCacheEvent(JsonReader& reader, proto::Announcement* message) {
   proto::CacheEvent* event = message->add_cache_events();
   event->set_sequence(
-      static_cast<std::uint64_t>(ReadNumber(reader, "sequence", kMaxNumber)));
+      static_cast<std::uint64_t>(ReadInteger(reader, "sequence", kMaxInteger)));
   const std::string kind = ReadText(reader, "kind");
   if (kind != "stored" && kind != "removed") {
     reader.Report("kind", "must be stored or removed");
@@ -90,19 +90,19 @@
   message.set_url(ReadText(reader, "url"));
   reader.ReadStrings("models", [](const std::string&) {});
   message.set_slots(
-      static_cast<std::int32_t>(ReadNumber(reader, "slots", kMaxSlots)));
+      static_cast<std::int32_t>(ReadInteger(reader, "slots", kMaxSlots)));
   message.set_kv_capacity_bytes(
-      ReadNumber(reader, "kv_capacity_bytes", kMaxBytes));
+      ReadInteger(reader, "kv_capacity_bytes", kMaxBytes));
   double rate = 0;
   reader.Read("prefill_tokens_per_second", &rate, 0, kMaxTokensPerSecond);
   message.set_prefill_tokens_per_second(rate);
   message.set_kv_bytes_per_token(
-      ReadNumber(reader, "kv_bytes_per_token", kMaxBytesPerToken));
+      ReadInteger(reader, "kv_bytes_per_token", kMaxBytesPerToken));
   bool fencing = true;
   reader.Read("fencing", &fencing);
   message.set_honours_fencing(fencing);
   message.set_incarnation(static_cast<std::uint64_t>(
-      ReadNumber(reader, "incarnation", kMaxNumber)));
+      ReadInteger(reader, "incarnation", kMaxInteger)));
   bool departing = false;
   reader.Read("departing", &departing);
   message.set_departing(departing);
@@ -111,7 +111,7 @@
   });
   reader.ReadArray("cache_events",
                    [&](JsonReader& event) { ReadCacheEvent(event, &message); });
-  // Fields of a newer protocol are passed over: endpoints are upgraded on
+  // Fields of a newer protocol version are ignored: endpoints are upgraded on
   // their own schedule.
   return message;
 }
--- a/main/call_sink.cc
+++ b/main/call_sink.cc
@@ -15,8 +15,8 @@
 constexpr int kStatusUnavailable = 503;
 
 // Answers to prefill calls are small; a plain service's may be large.
-constexpr std::size_t kMaxPrefillAnswer = 1 << 20;
-constexpr std::size_t kMaxPlainAnswer = 64 << 20;
+constexpr std::size_t kMaxPrefillAnswerBytes = 1 << 20;
+constexpr std::size_t kMaxPlainAnswerBytes = 64 << 20;
 
 }  // namespace
 
@@ -25,7 +25,8 @@
   if (status == kStatusNotFound || status == kStatusConflict) {
     return CallOutcome::kNotFound;
   }
-  // 500 and 502 may follow the start of the work; 503 and 4xx precede it.
+  // 500 and 502 may be sent after the work has started, 503 and 4xx only
+  // before.
   if (status == kStatusUnavailable ||
       (status >= 400 && status < kStatusServerError)) {
     return CallOutcome::kRefused;
@@ -40,7 +41,7 @@
 }
 
 void PrefillSink::OnBody(std::string_view bytes) {
-  if (body_.size() + bytes.size() > kMaxPrefillAnswer) return;
+  if (body_.size() + bytes.size() > kMaxPrefillAnswerBytes) return;
   body_.append(bytes);
 }
 
@@ -57,12 +58,13 @@
 }
 
 void DecodeSink::OnDone(std::string_view, bool sent) {
-  // After a complete answer the flow has left the call and ignores this.
+  // After a complete answer the flow no longer tracks the call and ignores
+  // this.
   owner_.OnDecodeEnd(call_, OutcomeOf(status_, sent));
 }
 
 void PlainSink::OnBody(std::string_view bytes) {
-  if (body_.size() + bytes.size() > kMaxPlainAnswer) {
+  if (body_.size() + bytes.size() > kMaxPlainAnswerBytes) {
     owner_.OnDecodeEnd(call_, CallOutcome::kBroken);
     return;
   }
--- a/main/cancel_queue.cc
+++ b/main/cancel_queue.cc
@@ -9,17 +9,19 @@
 
 constexpr Duration kAnswerTimeout = Milliseconds(500);
 constexpr Duration kFirstBackoff = Milliseconds(100);
-constexpr Duration kLongestBackoff = Seconds(1);
-// The pool owner hears of an endpoint that has let this many pass.
-constexpr int kReportAfter = 3;
-constexpr int kGiveUpAfter = 20;
+constexpr Duration kMaxBackoff = Seconds(1);
+// After this many unconfirmed attempts the endpoint is reported to the pool
+// owner.
+constexpr int kReportAfterAttempts = 3;
+constexpr int kMaxAttempts = 20;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
 
 }  // namespace
 
-// One cancel: waiting for its next try, or for the answer to the present one.
+// One cancel, waiting for its next attempt or for the answer to the current
+// one.
 class CancelQueue::Job : public HttpCallSink {
  public:
   Job(ServingContext& context, RequestId request, EndpointId endpoint,
@@ -38,7 +40,7 @@
     if (call_ != 0) {
       context_.http.Cancel(call_);
       call_ = 0;
-      Missed(now);
+      OnUnconfirmed(now);
       return;
     }
     Send(now);
@@ -50,18 +52,18 @@
   void OnBody(std::string_view) override {}
   void OnDone(std::string_view, bool) override {
     call_ = 0;
-    // 404 says that nothing is held; both confirm.
+    // 404 means that the endpoint holds nothing; both statuses confirm.
     if (status_ == kStatusOk || status_ == kStatusNotFound) {
       done_ = true;
       return;
     }
-    Missed(MonotonicNow());
+    OnUnconfirmed(MonotonicNow());
   }
 
  private:
   void Send(Time now) {
     const EndpointCall built = context_.driver.BuildCancel(request_, url_);
-    // A pooled connection may be a silent one.
+    // A pooled connection may be dead, so retries open a new one.
     const HttpCall call{.method = built.method,
                         .url = built.url,
                         .headers = built.headers,
@@ -75,18 +77,18 @@
     call_ = context_.http.Start(call, this);
   }
 
-  void Missed(Time now) {
+  void OnUnconfirmed(Time now) {
     ++attempts_;
-    if (attempts_ == kReportAfter) {
+    if (attempts_ == kReportAfterAttempts) {
       context_.metrics.cancels_unconfirmed.Add();
       context_.to_control(CancelNotConfirmed{endpoint_, pool_});
     }
-    if (attempts_ >= kGiveUpAfter) {
+    if (attempts_ >= kMaxAttempts) {
       done_ = true;
       return;
     }
-    due_ = now + std::min(kFirstBackoff * (1 << std::min(attempts_, 4)),
-                          kLongestBackoff);
+    due_ = now +
+           std::min(kFirstBackoff * (1 << std::min(attempts_, 4)), kMaxBackoff);
   }
 
   ServingContext& context_;
--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -16,26 +16,29 @@
 namespace {
 
 constexpr Duration kTickPeriod = Milliseconds(500);
-// Placements of a moment are told together; a prompt takes longer to read.
+// Placements are sent in batches; prefill of a prompt takes longer than this.
 constexpr Duration kPlacementPeriod = Milliseconds(25);
 constexpr Duration kExpiryPeriod = Seconds(5);
-// A control instance that nobody named or heard of for this long is dropped.
+// A control instance that sent no update and was named by no seed list or
+// update for this long is dropped.
 constexpr Duration kControlLifetime = Seconds(60);
-// Connections to a control instance count as lost after this silence.
-constexpr Duration kControlSilence = Seconds(2);
-// The balancer asks once a second and takes an instance out after two misses;
-// until then new callers still come.
+// A control instance counts as disconnected after this time without an update.
+constexpr Duration kControlTimeout = Seconds(2);
+// The load balancer probes readiness once a second and removes an instance
+// after two failed probes; until then new requests still arrive.
 constexpr Duration kBalancerDelay = Milliseconds(3400);
-// A word that a runner changes its role lasts until after the next update.
-constexpr Duration kChangingLifetime = Milliseconds(1200);
-// Requests after this time could be cut off by the end of the process.
-constexpr Duration kLastRequests = Milliseconds(2900);
-// Left for the process to end before it is killed.
+// A role change that an update reports holds until after the next update.
+constexpr Duration kRoleChangeLifetime = Milliseconds(1200);
+// Requests that arrive later in a shutdown are refused, since the end of the
+// process could cut them off.
+constexpr Duration kShutdownAcceptPeriod = Milliseconds(2900);
+// Part of the shutdown grace period in which the process exits before it is
+// killed.
 constexpr Duration kExitMargin = Milliseconds(600);
-// Share of the common retry allowance that is used, since the windows of two
-// instances don't start together.
-constexpr double kBudgetMargin = 0.8;
-constexpr std::uint32_t kLeastEntryInstances = 8;
+// Fraction of the shared retry budget that is used, since the budget windows of
+// two instances don't start together.
+constexpr double kBudgetFraction = 0.8;
+constexpr std::uint32_t kMinEntryInstances = 8;
 constexpr int kBudgetWindowSeconds = 10;
 constexpr Duration kRefusalRetryAfter = Milliseconds(300);
 
@@ -128,7 +131,8 @@
   received_.Add();
   const Time now = BootTimeNow();
   CallerHeaders caller = ReadCallerHeaders(*exchange);
-  if (closing_connections_ && now - shutdown_started_ >= kLastRequests) {
+  if (closing_connections_ &&
+      now - shutdown_started_ >= kShutdownAcceptPeriod) {
     Refuse(*exchange, caller.id, "the instance stops");
     return;
   }
@@ -150,7 +154,7 @@
   }
   const ServiceId service = PickTarget(*route, random_.Unit()).service;
   const ServiceSpec& spec = routes_->configuration().services.at(service);
-  const Duration patience =
+  const Duration timeout =
       std::min(caller.timeout.value_or(route->timeout), route->timeout);
   RequestFacts facts{.kind = route->kind,
                      .resumable = route->resumable,
@@ -161,7 +165,7 @@
                      .output = caller.output,
                      .latency_target = route->latency_target,
                      .arrived = now,
-                     .deadline = now + patience,
+                     .deadline = now + timeout,
                      .gap_target = route->gap_target};
   if (spec.engine) {
     facts.handle_lifetime = spec.engine->handle_lifetime;
@@ -194,7 +198,7 @@
 }
 
 std::uint32_t EntryNode::EntryInstanceCount() const {
-  std::uint32_t count = kLeastEntryInstances;
+  std::uint32_t count = kMinEntryInstances;
   for (const auto& [instance, control] : controls_) {
     count = std::max(count, control.entry_instances);
   }
@@ -205,8 +209,8 @@
   std::unique_ptr<RetryBudget>& budget = budgets_[service];
   if (!budget) {
     budget = std::make_unique<RetryBudget>(RetryBudgetOptions{
-        .ratio = settings_.retry_ratio * kBudgetMargin,
-        .floor_per_second = settings_.retry_allowance * kBudgetMargin /
+        .ratio = settings_.retry_ratio * kBudgetFraction,
+        .floor_per_second = settings_.retry_allowance * kBudgetFraction /
                             kBudgetWindowSeconds / EntryInstanceCount()});
   }
   return *budget;
@@ -221,7 +225,8 @@
     return;
   }
   if (message.has_placements()) {
-    // Another one's word would count what its update has counted.
+    // Another control instance's placements may already be counted in the loads
+    // of the load source.
     if (from != load_source_) return;
     pool_.AddOtherLoads(ReadLoads(message.placements().added()));
     return;
@@ -260,7 +265,7 @@
   }
   pool_.SetSilent(from.value(), std::move(silent), now);
   for (const std::string& id : update.changing_endpoints()) {
-    pool_.SetChanging(EndpointId(id), now + kChangingLifetime);
+    pool_.SetChanging(EndpointId(id), now + kRoleChangeLifetime);
   }
   const int others = static_cast<int>(update.entry_instances()) - 1;
   if (from == load_source_) {
@@ -298,7 +303,7 @@
   const EndpointLoads loads = pool_.OwnLoads();
   load_source_ = LoadSource();
   for (auto& [instance, control] : controls_) {
-    if (control.connected && now - control.last_update_at >= kControlSilence) {
+    if (control.connected && now - control.last_update_at >= kControlTimeout) {
       control.connected = false;
       Log(LogLevel::kWarning, "control_silent",
           {{"control", instance.value()},
@@ -317,8 +322,8 @@
   }
 }
 
-// Rendezvous hashing: each entry instance ranks the control instances in an
-// order of its own, and keeps its choice while others come and go.
+// Rendezvous hashing: each entry instance ranks the control instances in its
+// own order and keeps its choice while other control instances come and go.
 InstanceId EntryNode::LoadSource() const {
   InstanceId best;
   std::size_t best_rank = 0;
@@ -366,14 +371,14 @@
 }
 
 void EntryNode::AdvanceShutdown(Time now) {
-  const Duration passed = now - shutdown_started_;
-  const Duration longest = settings_.shutdown_grace - kExitMargin;
-  if (listening_ && passed >= std::min(kBalancerDelay, longest)) {
+  const Duration elapsed = now - shutdown_started_;
+  const Duration limit = settings_.shutdown_grace - kExitMargin;
+  if (listening_ && elapsed >= std::min(kBalancerDelay, limit)) {
     callers_->StopListening();
     listening_ = false;
   }
   const bool idle = !listening_ && requests_.empty();
-  if (idle || passed >= longest) on_done_();
+  if (idle || elapsed >= limit) on_done_();
 }
 
 }  // namespace cassiausher
--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -13,17 +13,18 @@
 namespace cassiausher {
 namespace {
 
-// A connection takes a few milliseconds. A lost opening packet would be sent
-// again after a second, later than another endpoint answers.
+// Connecting takes a few milliseconds. TCP resends a lost SYN only after a
+// second, by when another endpoint would have answered.
 constexpr Duration kConnectTimeout = Milliseconds(120);
-// A silent run that can't go on elsewhere is looked at again after this time.
+// A run without progress that can't fail over is checked again after this time.
 constexpr Duration kProgressRecheck = Milliseconds(300);
-// Placement knows how far a stream is to within so many events.
+// The endpoint pool is told of a stream's progress after this many events.
 constexpr std::int64_t kEventsPerReport = 4;
-// An answer that is relayed as a whole is held in memory until then.
-constexpr std::size_t kMaxWholeBytes = std::size_t{16} << 20;
+// Limit of an answer that isn't streamed: it is held in memory until complete.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{16} << 20;
 
-// Fire and forget: the handle lapses by itself if the call fails.
+// Ignores the answer of a release call: the handle expires by itself if the
+// call fails.
 class ReleaseSink : public HttpCallSink {
  public:
   void OnHeaders(int, SoupMessageHeaders*) override {}
@@ -149,7 +150,7 @@
   answer_.reset();
   body_.clear();
   const bool resumes = call.kind == CallKind::kRun && exchange_->streaming();
-  // Half an event of the run before is not part of the next one.
+  // An incomplete event of the previous run is not part of the next one.
   events_ = EventSplitter(events_.last_id());
   CallPlan plan{.kind = call.kind,
                 .endpoint = call.endpoint,
@@ -184,12 +185,12 @@
     return;
   }
   if (answer_->other_request) {
-    FailCall(CallFailure::kBroken, "the answer is another request's");
+    FailCall(CallFailure::kBroken, "the answer belongs to another request");
     return;
   }
   const bool success = IsSuccess(status);
   if (success && !answer_->has_server_stamp) {
-    FailCall(CallFailure::kBroken, "the answer has no signature");
+    FailCall(CallFailure::kBroken, "the answer has no server stamp");
     return;
   }
   const bool failed = status >= kServerError;
@@ -208,7 +209,7 @@
                              answer_->status == kOk && answer_->event_stream;
   if (!relays_events) {
     body_.append(bytes);
-    if (body_.size() > kMaxWholeBytes) {
+    if (body_.size() > kMaxBufferedBytes) {
       FailCall(CallFailure::kBroken, "the answer is too long");
     }
     return;
@@ -267,7 +268,7 @@
 void ForwardedRequest::OnPrefillComplete() {
   const auto handle = ReadHandle(body_);
   if (!handle.has_value()) {
-    FailCall(CallFailure::kBroken, "no handle in the answer");
+    FailCall(CallFailure::kBroken, "the prefill answer has no handle");
     return;
   }
   const std::string address = call_->endpoint.address;
@@ -369,8 +370,8 @@
   const Time now = BootTimeNow();
   if (now >= facts_.deadline) {
     if (call_.has_value()) {
-      const bool ran = context_.client->WasSent(call_id_);
-      FinishCall(ran ? WorkOutcome::kBroken : WorkOutcome::kAbandoned);
+      const bool was_sent = context_.client->WasSent(call_id_);
+      FinishCall(was_sent ? WorkOutcome::kBroken : WorkOutcome::kAbandoned);
     }
     Execute(forwarder_.OnDeadline());
     return;
@@ -413,7 +414,7 @@
   ended_ = true;
   timer_.reset();
   if (outcome != "answered") ReleaseHandle();
-  const Duration took = BootTimeNow() - facts_.arrived;
+  const Duration duration = BootTimeNow() - facts_.arrived;
   Log(LogLevel::kInfo, "request_ended",
       {{"request", caller_.id.value()},
        {"route", route_name_},
@@ -429,11 +430,11 @@
         ToMilliseconds(first_event_at_.value_or(facts_.arrived) -
                        facts_.arrived)},
        {"longest_gap_ms", ToMilliseconds(longest_gap_)},
-       {"took_ms", ToMilliseconds(took)}});
+       {"took_ms", ToMilliseconds(duration)}});
   context_.metrics
       ->counter(fmt::format("requests_ended_total{{outcome=\"{}\"}}", outcome))
       .Add();
-  context_.metrics->distribution("request_seconds").Record(took);
+  context_.metrics->distribution("request_seconds").Record(duration);
   const auto on_end = std::move(on_end_);
   if (on_end) on_end();
 }
--- a/main/load_messages.cc
+++ b/main/load_messages.cc
@@ -24,7 +24,7 @@
     proto::EndpointLoad* message = messages->Add();
     message->set_endpoint(endpoint.value());
     message->set_requests(load.requests);
-    // Lookups hold none.
+    // Requests to services without an engine hold no KV memory.
     if (load.memory.Peak() == Tokens(0)) continue;
     for (const Tokens tokens : load.memory.points()) {
       message->add_kv_tokens(tokens.value());
--- a/main/pool_service.cc
+++ b/main/pool_service.cc
@@ -17,13 +17,13 @@
 
 constexpr Duration kSummaryPeriod = Milliseconds(250);
 constexpr Duration kSummaryRefresh = Milliseconds(1500);
-constexpr Duration kSummarySpreadPeriod = Seconds(3);
+constexpr Duration kSummaryBroadcastPeriod = Seconds(3);
 constexpr Duration kSummaryMaxAge = Milliseconds(2500);
 // Ownership epochs count tenths of a second since 1970.
 constexpr std::int64_t kEpochUnitMicros = 100000;
 constexpr Duration kAnnouncementWait = Milliseconds(2500);
 constexpr Duration kSessionsPeriod = Seconds(1);
-constexpr Duration kPassedMaxAge = Seconds(60);
+constexpr Duration kRefusalHistoryMaxAge = Seconds(60);
 constexpr Duration kUnknownServiceRetryAfter = Seconds(1);
 
 RequestId IdOf(const proto::Progress& progress) {
@@ -95,8 +95,8 @@
   reachable_ = std::move(reachable);
   remote_instances_.clear();
   for (const MemberRow& row : members) {
-    const bool here = row.data_centre == context_.settings.data_centre;
-    if (!here && reachable_.contains(row.id)) remote_instances_.insert(row.id);
+    const bool local = row.data_centre == context_.settings.data_centre;
+    if (!local && reachable_.contains(row.id)) remote_instances_.insert(row.id);
   }
   ownership_.SetView(ViewOf(members, context_.settings.data_centre), now);
   DispatchOwnership(now);
@@ -201,13 +201,13 @@
   options.prefill_thrift = settings.prefill_thrift;
   const auto link = configuration_->links.find(context_.settings.data_centre);
   if (link == configuration_->links.end()) return options;
-  double shares = 0;
+  double total_share = 0;
   for (const auto& [id, other] : configuration_->services) {
-    if (other.kind == ServiceKind::kRunner) shares += other.link_share;
+    if (other.kind == ServiceKind::kRunner) total_share += other.link_share;
   }
-  if (shares > 0) {
+  if (total_share > 0) {
     options.link_bytes_per_second =
-        link->second.bytes_per_second * settings.link_share / shares;
+        link->second.bytes_per_second * settings.link_share / total_share;
   }
   return options;
 }
@@ -218,7 +218,7 @@
     AdmitLocally(request, {}, now);
     return;
   }
-  // Without an owner the entry asks again; see
+  // Without an owner the entry instance requests again; see
   // RequestFlowOptions::place_retry.
   if (owner.empty()) return;
   proto::Envelope envelope;
@@ -229,12 +229,12 @@
 void PoolService::AdmitLocally(const RouteRequest& request,
                                std::set<DataCentreId> refused_by, Time now) {
   HostedPool* pool = HeldPool(request.service, now);
-  // The asker follows the change of owner, and asks again.
+  // The requester learns of the new owner and requests again.
   if (pool == nullptr) return;
   if (pool->host->live_endpoints() == 0) {
     if (ForwardElsewhere(request, std::move(refused_by), now)) return;
     // Endpoints announce themselves to a new owner within a second or two;
-    // until then the entry asks again.
+    // until then the entry instance requests again.
     if (now - pool->acquired < kAnnouncementWait) return;
     Refuse(request, RefusalReason::kUnknownService);
     return;
@@ -303,10 +303,10 @@
   }
   if (const auto* refusal = std::get_if<RouteRefusal>(&output.output)) {
     std::set<DataCentreId> refused_by;
-    const auto passed = refusal_history_.extract(refusal->request);
-    if (!passed.empty()) refused_by = passed.mapped().refused_by;
-    // Each data centre is asked once. Trying only those with free slots by
-    // their last summary loses 0.8% of the goodput in the policy bench.
+    const auto history = refusal_history_.extract(refusal->request);
+    if (!history.empty()) refused_by = history.mapped().refused_by;
+    // Each data centre is tried once. Trying only those with free slots by
+    // their last summary loses 0.8% of the goodput in the policy benchmark.
     if (refusal->reason == RefusalReason::kOverloaded &&
         ForwardElsewhere(output.request, std::move(refused_by), now)) {
       return;
@@ -536,7 +536,7 @@
                                                Time now) const {
   std::set<InstanceId> owners;
   for (const auto& [key, remote] : remote_pools_) {
-    const bool recent = now - remote.received <= kSummarySpreadPeriod * 2;
+    const bool recent = now - remote.received <= kSummaryBroadcastPeriod * 2;
     if (key.second == service && recent) owners.insert(remote.address.owner);
   }
   return owners;
@@ -551,17 +551,18 @@
     *envelope.mutable_pool_summary() = SummaryOf(pool, now);
     const bool changed = envelope.pool_summary().SerializeAsString() !=
                          pool.summary.SerializeAsString();
-    const bool spread = now - pool.summary_broadcast >= kSummarySpreadPeriod;
-    if (!changed && !spread && now - pool.summary_sent < kSummaryRefresh) {
+    const bool broadcast =
+        now - pool.summary_broadcast >= kSummaryBroadcastPeriod;
+    if (!changed && !broadcast && now - pool.summary_sent < kSummaryRefresh) {
       continue;
     }
     pool.summary = envelope.pool_summary();
     pool.summary_sent = now;
-    if (spread) pool.summary_broadcast = now;
-    // Only owners pass requests on; the others learn of the pool now and then,
-    // since any of them may become an owner.
+    if (broadcast) pool.summary_broadcast = now;
+    // Only owners forward requests; the other instances get the summary less
+    // often, since any of them may become an owner.
     for (const InstanceId& instance :
-         spread ? remote_instances_ : RemoteOwners(service, now)) {
+         broadcast ? remote_instances_ : RemoteOwners(service, now)) {
       context_.send(instance, envelope);
     }
   }
@@ -572,14 +573,14 @@
   const DataCentreId data_centre(summary.data_centre());
   const ServiceId service(summary.service());
   RemotePool& remote = remote_pools_[{data_centre, service}];
-  const bool moved =
+  const bool owner_changed =
       !remote.address.owner.empty() && remote.address.owner != sender;
   remote.address = {data_centre, service, sender, Epoch(0)};
   remote.free_slots = summary.free_slots();
   remote.queued = summary.queued();
   remote.endpoints = summary.endpoints();
   remote.received = now;
-  if (moved) NotifyServingTasks(remote.address);
+  if (owner_changed) NotifyServingTasks(remote.address);
 }
 
 void PoolService::RequestSessions(Time now) {
@@ -614,13 +615,13 @@
   SendSummaries(now);
   RequestSessions(now);
   for (auto& [service, pool] : pools_) {
-    // An owner whose lease has run out must not place requests.
+    // An owner whose lease has expired must not place requests.
     if (HeldPool(service, now) == nullptr) continue;
     pool.host->Tick(now);
     Dispatch(pool, now);
   }
   std::erase_if(refusal_history_, [now](const auto& item) {
-    return now - item.second.since > kPassedMaxAge;
+    return now - item.second.since > kRefusalHistoryMaxAge;
   });
 }
 
--- a/main/request_id.cc
+++ b/main/request_id.cc
@@ -10,15 +10,14 @@
 namespace {
 
 constexpr char kSeparator = '~';
-constexpr std::size_t kMaxCallerId = 64;
+constexpr std::size_t kMaxCallerIdLength = 64;
 
 struct Parts {
   std::string_view entry;
   std::string_view task;
 };
 
-// A caller's own id contains no separator, so the parts are counted from the
-// end.
+// Splits from the end; the caller's own id contains no separator.
 std::optional<Parts> Split(const RequestId& request) {
   const std::string_view text = request.value();
   const std::size_t counter = text.rfind(kSeparator);
@@ -59,7 +58,7 @@
            (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' ||
            c == ':';
   };
-  return !text.empty() && text.size() <= kMaxCallerId &&
+  return !text.empty() && text.size() <= kMaxCallerIdLength &&
          std::all_of(text.begin(), text.end(), allowed);
 }
 
--- a/main/serving_task.cc
+++ b/main/serving_task.cc
@@ -16,12 +16,13 @@
 
 // Deadlines of requests and cancels are checked this often.
 constexpr Duration kTickPeriod = Milliseconds(20);
-constexpr std::size_t kMaxKeyLength = 255;
+constexpr std::size_t kMaxKeyBytes = 255;
 constexpr Duration kBusyRetryAfter = Seconds(1);
-// A repeated key waits this long for the request that holds the claim.
-constexpr Duration kAttachPatience = Seconds(120);
-constexpr Duration kAttachPoll = Milliseconds(100);
-constexpr std::uint64_t kHighestEventId = 1 << 20;
+// A request with a repeated key waits this long for the one that holds the
+// claim.
+constexpr Duration kAttachTimeout = Seconds(120);
+constexpr Duration kAttachPollPeriod = Milliseconds(100);
+constexpr std::uint64_t kMaxEventId = 1 << 20;
 constexpr std::string_view kServicesPrefix = "/services/";
 
 bool IsSafeMethod(std::string_view method) {
@@ -64,7 +65,8 @@
       incarnation_(incarnation),
       configuration_(std::make_shared<Configuration>()),
       keys_(std::make_shared<Settings::Keys>(settings.keys)),
-      // Ids of an earlier run of this instance must not come again.
+      // Starts at the clock, so that ids of an earlier run of this instance
+      // aren't reused.
       next_request_(static_cast<std::uint64_t>(g_get_real_time())),
       mailbox_(context(),
                [this](ServingMessage& message) { Handle(message); }) {}
@@ -137,7 +139,7 @@
     found->second->OnGranted(message, now);
     return;
   }
-  // The request ended before its place came.
+  // The request ended before its grant arrived: returns the placement.
   to_control_(PlacementProgress{
       message.grant.request, message.pool, {FlowProgress::kCancelled, {}, {}}});
 }
@@ -164,7 +166,7 @@
 }
 
 void ServingTask::On(SessionsRequested& message, Time) {
-  // A call without an answer by now is replaced on a new connection.
+  // A call that is still unanswered is replaced by one on a new connection.
   auto& call = sessions_calls_[message.endpoint];
   const bool unanswered = call != nullptr && !call->done();
   call = std::make_unique<SessionsCall>(*context_, message, unanswered);
@@ -282,7 +284,7 @@
       MakeRequestId(caller_id, settings_.instance, index_, next_request_++);
 
   const std::string_view key = exchange.header("Idempotency-Key");
-  if (key.size() > kMaxKeyLength) {
+  if (key.size() > kMaxKeyBytes) {
     Refuse(exchange, {.status = 400,
                       .type = "invalid_request",
                       .code = "bad_idempotency_key",
@@ -303,7 +305,7 @@
   const auto parsed =
       std::from_chars(text.data(), end, request->received_chunks);
   const bool well_formed = parsed.ec == std::errc() && parsed.ptr == end &&
-                           request->received_chunks <= kHighestEventId;
+                           request->received_chunks <= kMaxEventId;
   if (well_formed && request->stream) return true;
   Refuse(exchange, {.status = 400,
                     .type = "invalid_request",
@@ -315,10 +317,10 @@
 
 bool ServingTask::ReadIdempotence(HttpExchange& exchange, bool service_default,
                                   CallerRequest* request) {
-  const std::string_view mark = exchange.header("Cassiausher-Idempotent");
+  const std::string_view value = exchange.header("Cassiausher-Idempotent");
   request->idempotent = service_default;
-  if (mark.empty()) return true;
-  if (mark != "true" && mark != "false") {
+  if (value.empty()) return true;
+  if (value != "true" && value != "false") {
     Refuse(exchange, {.status = 400,
                       .type = "invalid_request",
                       .code = "bad_idempotent_mark",
@@ -326,7 +328,7 @@
                                  "false"});
     return false;
   }
-  request->idempotent = mark == "true";
+  request->idempotent = value == "true";
   return true;
 }
 
@@ -419,8 +421,8 @@
   const std::string_view type = exchange->header("Content-Type");
   if (!type.empty()) request.content_type = std::string(type);
   request.body = std::string(exchange->body());
-  // Unless a caller says otherwise, only methods without side effects may be
-  // repeated.
+  // Unless the caller's Cassiausher-Idempotent header overrides it, only
+  // methods without side effects may be retried.
   request.idempotent = IsSafeMethod(request.method);
   if (!CheckService(*exchange, ServiceKind::kPlain, &request)) return;
   Begin(std::move(request), true, std::move(exchange));
@@ -476,17 +478,18 @@
   const RequestId id = request.id;
   serving_metrics_.claims.Add(1);
   ClaimWaiter& waiter = claims_[id];
-  const std::string hashed =
+  const std::string hash_input =
       request.method + ' ' + request.path + '\n' + request.body;
-  waiter.claim = {.key = {request.account, request.key},
-                  .instance = settings_.instance,
-                  .incarnation = context_->incarnation,
-                  .request = id,
-                  .body_hash = XXH3_64bits(hashed.data(), hashed.size())};
+  waiter.claim = {
+      .key = {request.account, request.key},
+      .instance = settings_.instance,
+      .incarnation = context_->incarnation,
+      .request = id,
+      .body_hash = XXH3_64bits(hash_input.data(), hash_input.size())};
   waiter.request = std::move(request);
   waiter.plain = plain;
   waiter.exchange = std::move(exchange);
-  waiter.deadline = MonotonicNow() + kAttachPatience;
+  waiter.deadline = MonotonicNow() + kAttachTimeout;
   waiter.exchange->WatchClose([this, id] {
     const auto found = claims_.find(id);
     if (found == claims_.end()) return;
@@ -519,7 +522,7 @@
       std::holds_alternative<AttachToRequest>(*message.answer);
   if (attached) {
     waiter.attached = true;
-    waiter.next_poll = now + kAttachPoll;
+    waiter.next_poll = now + kAttachPollPeriod;
     return;
   }
   ClaimWaiter settled = RemoveClaimWaiter(message.request);
@@ -527,7 +530,7 @@
     SettleClaim(std::move(settled), *message.answer);
     return;
   }
-  // The claim may still be committed; it is released then.
+  // The claim may still be committed later, so it is released.
   ReleaseClaim(settled);
   const bool not_run = !settled.attached;
   RespondError(*settled.exchange,
@@ -542,7 +545,7 @@
 
 void ServingTask::SettleClaim(ClaimWaiter waiter, const LedgerAnswer& answer) {
   if (std::holds_alternative<RunRequest>(answer)) {
-    // The exchange must hear of its close from the request from now on.
+    // From now on ActiveRequest::Start() watches for the close of the exchange.
     Run(std::move(waiter.request), waiter.plain, true,
         std::move(waiter.exchange));
     return;
@@ -553,18 +556,18 @@
   }
   const std::string id = waiter.request.id.value();
   if (const auto* refused = std::get_if<ClaimRefused>(&answer)) {
-    const bool other_body = refused->reason == LedgerRefusal::kOtherBody;
+    const bool body_differs = refused->reason == LedgerRefusal::kOtherBody;
     refused_early_.Add();
     RespondError(
         *waiter.exchange,
-        {.status = other_body ? 409 : 503,
-         .type = other_body ? "invalid_request" : "unavailable",
-         .code = other_body ? "key_reused" : "ledger_unavailable",
-         .message = other_body ? "this Idempotency-Key was used with another "
-                                 "request"
-                               : "the ledger can't take this key now",
+        {.status = body_differs ? 409 : 503,
+         .type = body_differs ? "invalid_request" : "unavailable",
+         .code = body_differs ? "key_reused" : "ledger_unavailable",
+         .message = body_differs ? "this Idempotency-Key was used with another "
+                                   "request"
+                                 : "the ledger can't take this key now",
          .not_run = true,
-         .retry_after = other_body ? Duration(0) : kBusyRetryAfter},
+         .retry_after = body_differs ? Duration(0) : kBusyRetryAfter},
         id);
     return;
   }
--- a/main/sessions_call.cc
+++ b/main/sessions_call.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-// 100,000 sessions of 80 bytes each; an engine holds some tens.
-constexpr std::size_t kMaxAnswer = 8 << 20;
+// Fits 100,000 sessions of 80 bytes each; an engine holds some tens.
+constexpr std::size_t kMaxAnswerBytes = 8 << 20;
 
 }  // namespace
 
@@ -31,14 +31,15 @@
 }
 
 void SessionsCall::OnBody(std::string_view bytes) {
-  if (body_.size() + bytes.size() <= kMaxAnswer) body_.append(bytes);
+  if (body_.size() + bytes.size() <= kMaxAnswerBytes) body_.append(bytes);
 }
 
 void SessionsCall::OnDone(std::string_view error, bool) {
   call_ = 0;
   SessionsListed listed{request_.endpoint, request_.service, {}};
-  const bool whole = error.empty() && status_ == kStatusOk;
-  if (!whole || !context_.driver.ParseSessions(body_, &listed.requests)) return;
+  const bool succeeded = error.empty() && status_ == kStatusOk;
+  if (!succeeded || !context_.driver.ParseSessions(body_, &listed.requests))
+    return;
   context_.to_control(std::move(listed));
 }
 
--- a/main/token_table.cc
+++ b/main/token_table.cc
@@ -8,7 +8,7 @@
 namespace cassiausher {
 namespace {
 
-constexpr std::size_t kKeyLength = 32;
+constexpr std::size_t kKeyHexDigits = 32;
 constexpr std::string_view kScheme = "Bearer ";
 
 bool EqualInConstantTime(std::string_view a, std::string_view b) {
@@ -38,14 +38,14 @@
 
 void TokenTable::Add(const std::string& sha256, TokenOwner owner) {
   if (sha256.empty()) return;
-  entries_.emplace(sha256.substr(0, kKeyLength),
+  entries_.emplace(sha256.substr(0, kKeyHexDigits),
                    Entry{sha256, std::move(owner)});
 }
 
 std::optional<TokenOwner> TokenTable::Find(std::string_view token) const {
   if (token.empty()) return std::nullopt;
   const std::string hash = Sha256Hex(token);
-  const auto [begin, end] = entries_.equal_range(hash.substr(0, kKeyLength));
+  const auto [begin, end] = entries_.equal_range(hash.substr(0, kKeyHexDigits));
   for (auto it = begin; it != end; ++it) {
     if (EqualInConstantTime(it->second.sha256, hash)) return it->second.owner;
   }
