--- a/tests/main/announcement_test.cc
+++ b/tests/main/announcement_test.cc
@@ -1,4 +1,5 @@
-// Guards the directory of endpoints against announcements with faults.
+// Malformed announcements must be rejected, so that wrong values don't enter
+// the endpoint directory.
 #include "main/announcement.h"
 
 #include <CppUTest/TestHarness.h>
@@ -10,7 +11,7 @@
 
 namespace {
 
-constexpr const char* kGood =
+constexpr const char* kValid =
     R"({"name":"d1","data_centre":"dc","service":"s",
   "role":"decode","url":"http://127.0.0.1:1","models":["s"],"slots":20,
   "kv_capacity_bytes":1000,"prefill_tokens_per_second":20000.0,
@@ -23,9 +24,9 @@
 
 TEST_GROUP(Announcement){};
 
-TEST(Announcement, AWholeAnnouncementIsRead) {
+TEST(Announcement, ValidAnnouncementIsParsed) {
   Findings findings;
-  const auto message = ParseAnnouncement(kGood, &findings);
+  const auto message = ParseAnnouncement(kValid, &findings);
   CHECK(findings.empty());
   LONGS_EQUAL(20, message.slots());
   CHECK(message.departing());
@@ -34,7 +35,7 @@
   CHECK(message.cache_events(0).prefix_hash() == 18446744073709551615ULL);
 }
 
-TEST(Announcement, EveryFaultIsReportedWithItsPlace) {
+TEST(Announcement, EachInvalidFieldIsReportedWithItsPath) {
   Findings findings;
   ParseAnnouncement(
       R"({"name":1,"data_centre":"dc","role":"king","url":"u","slots":-1,
@@ -48,11 +49,11 @@
   }
 }
 
-TEST(Announcement, CutTextNeverCrashes) {
-  const std::string good = kGood;
-  for (std::size_t length = 0; length < good.size(); ++length) {
+TEST(Announcement, TruncatedTextIsReportedWithoutACrash) {
+  const std::string valid = kValid;
+  for (std::size_t length = 0; length < valid.size(); ++length) {
     Findings findings;
-    ParseAnnouncement(good.substr(0, length), &findings);
+    ParseAnnouncement(valid.substr(0, length), &findings);
     CHECK_FALSE(findings.empty());
   }
 }
--- a/tests/main/request_id_test.cc
+++ b/tests/main/request_id_test.cc
@@ -1,4 +1,5 @@
-// Guards the way of a grant back to the task that asked.
+// A grant must be routed to the serving task that requested it, and a caller
+// must not be able to choose that task through X-Request-Id.
 #include "main/request_id.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +8,7 @@
 
 TEST_GROUP(RequestId){};
 
-TEST(RequestId, EntryAndTaskAreReadBack) {
+TEST(RequestId, EntryAndTaskAreParsedFromOwnId) {
   const InstanceId instance("bkk-pathum-1");
   for (const char* caller_id : {"", "abc", "a.b:c_d-e"}) {
     const RequestId id = MakeRequestId(caller_id, instance, 3, 255);
@@ -16,7 +17,7 @@
   }
 }
 
-TEST(RequestId, IdsOfOtherInstancesAndOtherTextsHaveNoTask) {
+TEST(RequestId, OtherInstancesAndMalformedIdsHaveNoTask) {
   const RequestId id = MakeRequestId("x", InstanceId("a"), 0, 1);
   LONGS_EQUAL(-1, ServingTaskOf(id, InstanceId("b")));
   for (const char* text : {"", "~", "~~", "~~~", "a~b~c", "x~a~zz~1"}) {
@@ -24,7 +25,7 @@
   }
 }
 
-TEST(RequestId, ACallerCanNotForgeASuffix) {
+TEST(RequestId, CallerIdWithSeparatorIsRejected) {
   CHECK(IsCallerRequestId("order-17"));
   CHECK_FALSE(IsCallerRequestId("x~a~0~1"));
   CHECK_FALSE(IsCallerRequestId(""));
