--- a/tests/drivers/peer_transport_test.cc
+++ b/tests/drivers/peer_transport_test.cc
@@ -78,15 +78,15 @@
 
 TEST(PeerTransport, PeerWithUnlistedKeyIsRefusedAndCounted) {
   const CurveKeys a_keys = NewKeys();
-  const CurveKeys stranger_keys = NewKeys();
+  const CurveKeys unlisted_keys = NewKeys();
   Node a(kFirstPort + 2, a_keys);
-  Node stranger(kFirstPort + 3, stranger_keys);
+  Node unlisted(kFirstPort + 3, unlisted_keys);
   STRCMP_EQUAL("", a.transport.Listen(context).c_str());
-  STRCMP_EQUAL("", stranger.transport.Listen(context).c_str());
-  stranger.transport.SetPeer(InstanceId("a"), a.address, a_keys.public_key);
+  STRCMP_EQUAL("", unlisted.transport.Listen(context).c_str());
+  unlisted.transport.SetPeer(InstanceId("a"), a.address, a_keys.public_key);
   Counter& refused = a.metrics.counter("peer_keys_refused_total");
   CHECK(RunUntil(context, [&] {
-    stranger.transport.Send(InstanceId("a"), "let me in");
+    unlisted.transport.Send(InstanceId("a"), "a message");
     return refused.value() > 0;
   }));
   LONGS_EQUAL(0, a.received);
