--- a/servers/configuration/configuration.h
+++ b/servers/configuration/configuration.h
@@ -36,7 +36,7 @@
   Tokens local_prefill_limit{256};
   /// How long a prefill engine keeps a result.
   Duration kv_retention = Milliseconds(800);
-  /// 0 maximises goodput, 1 minimises wasted prefill.
+  /// 0 favours goodput, 1 favours little wasted prefill.
   double prefill_thrift = 0.5;
   /// False: endpoints ignore fencing numbers, so a new pool owner waits until
   /// the old lease has expired.
