--- a/tests/tools/fake_endpoint_test.cc
+++ b/tests/tools/fake_endpoint_test.cc
@@ -1,5 +1,5 @@
-// Guards against a stand-in that departs from docs/endpoint-protocol.md: the
-// router's tests and the checker would then prove nothing.
+// Guards against a fake endpoint that deviates from docs/endpoint-protocol.md,
+// which would make the router's tests and the checker's results meaningless.
 #include "tools/fake_endpoint/fake_endpoint.h"
 
 #include <CppUTest/TestHarness.h>
@@ -73,7 +73,7 @@
   return {{"model", "service"}, {"prompt", kPrompt}, {"stream", stream}};
 }
 
-std::string Request(const char* id) {
+std::string RequestIdHeader(const char* id) {
   return fmt::format("X-Request-Id: {}\r\n", id);
 }
 
@@ -85,10 +85,10 @@
 STRCMP_EQUAL("", endpoint->Start().c_str());
 return endpoint;
 }
-json Ask(const FakeEndpoint& endpoint, const char* path, const json& body,
-         const std::string& headers = "", int status = 200) {
+json PostJson(const FakeEndpoint& endpoint, const char* path, const json& body,
+              const std::string& headers = "", int status = 200) {
   RawHttpClient client(endpoint.url(), path, body.dump(), headers);
-  const std::string text = client.Body();
+  const std::string text = client.ReadBody();
   LONGS_EQUAL(status, client.status());
   return json::parse(text, nullptr, false);
 }
@@ -97,7 +97,7 @@
   body["max_tokens"] = 1;
   body["kv_transfer_params"] = {{"do_remote_decode", true},
                                 {"do_remote_prefill", false}};
-  return Ask(endpoint, "/v1/completions", body, Request("r1"));
+  return PostJson(endpoint, "/v1/completions", body, RequestIdHeader("r1"));
 }
 void CheckNothingHeld(const FakeEndpoint& endpoint) {
   CHECK(RunUntil([&] { return endpoint.State()["held_sessions"] == 0; }));
@@ -107,11 +107,11 @@
 }
 ;
 
-TEST(FakeEndpoint, StreamsTheTextOfThePromptInNumberedChunks) {
+TEST(FakeEndpoint, StreamReturnsExpectedTextInNumberedChunks) {
   const auto endpoint = Start({.step_ms = 0, .output_tokens = 40});
   RawHttpClient client(endpoint->url(), "/v1/completions",
-                       CompletionBody(true).dump(), Request("r1"));
-  const Events events = ParseEvents(client.Body());
+                       CompletionBody(true).dump(), RequestIdHeader("r1"));
+  const Events events = ParseEvents(client.ReadBody());
   STRCMP_EQUAL(ExpectedText(40).c_str(), events.text.c_str());
   for (std::size_t i = 0; i < events.ids.size(); ++i) {
     LONGS_EQUAL(i + 1, events.ids[i]);
@@ -122,20 +122,22 @@
   CheckNothingHeld(*endpoint);
 }
 
-TEST(FakeEndpoint, AnswersWholeAndChatCalls) {
+TEST(FakeEndpoint, NonStreamingAndChatRequestsReturnExpectedText) {
   const auto endpoint = Start({.step_ms = 0, .output_tokens = 10});
-  const json whole =
-      Ask(*endpoint, "/v1/completions", CompletionBody(false), Request("r1"));
+  const json whole = PostJson(*endpoint, "/v1/completions",
+                              CompletionBody(false), RequestIdHeader("r1"));
   STRCMP_EQUAL(ExpectedText(10).c_str(),
                whole["choices"][0]["text"].get<std::string>().c_str());
   const json chat = {{"stream", true},
                      {"messages", {{{"role", "user"}, {"content", kPrompt}}}}};
   RawHttpClient client(endpoint->url(), "/v1/chat/completions", chat.dump());
   STRCMP_EQUAL(ExpectedText(10).c_str(),
-               ParseEvents(client.Body()).text.c_str());
+               ParseEvents(client.ReadBody()).text.c_str());
 }
 
-TEST(FakeEndpoint, MovesTheKvCacheFromPrefillToDecodeOnce) {
+// A KV cache that stays held after its export, or that can be exported twice,
+// would hide leaks and duplicate decodes of the router.
+TEST(FakeEndpoint, DecodeImportsRetainedKvCacheOnlyOnce) {
   const auto prefill = Start({.name = "p", .role = EndpointRole::kPrefill});
   const auto decode = Start({.name = "d", .step_ms = 0});
   const json result = Prefill(*prefill);
@@ -144,35 +146,38 @@
   json body = CompletionBody(true);
   body["kv_transfer_params"] = result["kv_transfer_params"];
   RawHttpClient client(decode->url(), "/v1/completions", body.dump(),
-                       Request("r1"));
+                       RequestIdHeader("r1"));
   STRCMP_EQUAL(ExpectedText(100).c_str(),
-               ParseEvents(client.Body()).text.c_str());
+               ParseEvents(client.ReadBody()).text.c_str());
   CheckNothingHeld(*prefill);
   CheckNothingHeld(*decode);
   CHECK(prefill->State()["executions"].empty());
-  const json again = Ask(*decode, "/v1/completions", body, Request("r1"), 409);
+  const json again =
+      PostJson(*decode, "/v1/completions", body, RequestIdHeader("r1"), 409);
   STRCMP_EQUAL("kv_not_found",
                again["error"]["code"].get<std::string>().c_str());
 }
 
-TEST(FakeEndpoint, DropsThePrefillResultAfterItsRetention) {
+TEST(FakeEndpoint, PrefillResultIsReleasedAfterRetentionTime) {
   const auto prefill =
       Start({.role = EndpointRole::kPrefill, .retention_ms = 50});
   const auto decode = Start({.name = "d"});
   json body = CompletionBody(true);
   body["kv_transfer_params"] = Prefill(*prefill)["kv_transfer_params"];
   CheckNothingHeld(*prefill);
-  Ask(*decode, "/v1/completions", body, Request("r1"), 409);
+  PostJson(*decode, "/v1/completions", body, RequestIdHeader("r1"), 409);
   CheckNothingHeld(*decode);
 }
 
-TEST(FakeEndpoint, ReleasesWhenTheClientCloses) {
+// libsoup does not report a client that closes its connection while an answer
+// is pending; without HangupWatcher the requests would stay held.
+TEST(FakeEndpoint, ClientDisconnectReleasesRunningAndQueuedRequests) {
   const auto endpoint = Start({.slots = 1, .step_ms = 20});
   RawHttpClient running(endpoint->url(), "/v1/completions",
-                        CompletionBody(true).dump(), Request("r1"));
+                        CompletionBody(true).dump(), RequestIdHeader("r1"));
   CHECK(running.WaitFor("id: 2\n"));
   RawHttpClient queued(endpoint->url(), "/v1/completions",
-                       CompletionBody(false).dump(), Request("r2"));
+                       CompletionBody(false).dump(), RequestIdHeader("r2"));
   CHECK(RunUntil([&] { return endpoint->State()["held_sessions"] == 2; }));
   queued.Close();
   CHECK(RunUntil([&] { return endpoint->State()["held_sessions"] == 1; }));
@@ -180,24 +185,26 @@
   CheckNothingHeld(*endpoint);
 }
 
-TEST(FakeEndpoint, CancelReleasesAndConfirms) {
+TEST(FakeEndpoint, CancelReleasesRequestAndReturnsReleasedBytes) {
   const auto endpoint = Start({.step_ms = 20});
   RawHttpClient client(endpoint->url(), "/v1/completions",
-                       CompletionBody(true).dump(), Request("r1"));
+                       CompletionBody(true).dump(), RequestIdHeader("r1"));
   CHECK(client.WaitFor("id: 1\n"));
-  const json answer = Ask(*endpoint, "/cancel", {{"request_id", "r1"}});
+  const json answer = PostJson(*endpoint, "/cancel", {{"request_id", "r1"}});
   LONGS_EQUAL(6000, answer["released_bytes"].get<int>());
   CheckNothingHeld(*endpoint);
-  CHECK(!ParseEvents(client.Body()).done);
-  Ask(*endpoint, "/cancel", {{"request_id", "r1"}}, "", 404);
+  CHECK(!ParseEvents(client.ReadBody()).done);
+  PostJson(*endpoint, "/cancel", {{"request_id", "r1"}}, "", 404);
 }
 
-TEST(FakeEndpoint, ResumesASilentStreamOnANewConnection) {
+// Guards against lost or repeated tokens, and a second execution, when a stream
+// is resumed while it runs or after it has finished.
+TEST(FakeEndpoint, SilencedStreamResumesOnNewConnection) {
   const auto endpoint = Start({.step_ms = 5, .output_tokens = 40});
   RawHttpClient silent(endpoint->url(), "/v1/completions",
-                       CompletionBody(true).dump(), Request("r1"));
+                       CompletionBody(true).dump(), RequestIdHeader("r1"));
   CHECK(silent.WaitFor("id: 3\n"));
-  Ask(*endpoint, "/fake/fault", {{"silence", true}});
+  PostJson(*endpoint, "/fake/fault", {{"silence", true}});
   RunFor(30);
   silent.Poll();
   const std::string before = silent.received();
@@ -207,50 +214,51 @@
   for (int round = 0; round < 2; ++round) {
     RawHttpClient resumed(endpoint->url(), "/v1/completions",
                           CompletionBody(true).dump(),
-                          Request("r1") + "Last-Event-ID: 3\r\n");
-    const Events events = ParseEvents(resumed.Body());
+                          RequestIdHeader("r1") + "Last-Event-ID: 3\r\n");
+    const Events events = ParseEvents(resumed.ReadBody());
     STRCMP_EQUAL(ExpectedText(40, 3).c_str(), events.text.c_str());
     LONGS_EQUAL(4, events.ids.front());
     CHECK(events.done);
   }
   LONGS_EQUAL(1, endpoint->State()["executions"]["r1"].get<int>());
   CheckNothingHeld(*endpoint);
-  Ask(*endpoint, "/v1/completions", CompletionBody(true),
-      Request("r9") + "Last-Event-ID: 3\r\n", 404);
+  PostJson(*endpoint, "/v1/completions", CompletionBody(true),
+           RequestIdHeader("r9") + "Last-Event-ID: 3\r\n", 404);
 }
 
-TEST(FakeEndpoint, ContinuesAfterTheTokensOfAnotherEngine) {
+TEST(FakeEndpoint, ResumeTokensContinueAnswerOfAnotherEngine) {
   const auto endpoint = Start({.step_ms = 0});
   json body = CompletionBody(true);
   body["cassiausher_resume_tokens"] = 30;
   RawHttpClient client(endpoint->url(), "/v1/completions", body.dump());
-  const Events events = ParseEvents(client.Body());
+  const Events events = ParseEvents(client.ReadBody());
   LONGS_EQUAL(31, events.ids.front());
   STRCMP_EQUAL(ExpectedText(100, 30).c_str(), events.text.c_str());
 }
 
-TEST(FakeEndpoint, RefusesOldEpochsUnlessToldToIgnoreThem) {
+// Guards against requests and orders of a former pool owner being accepted.
+TEST(FakeEndpoint, StaleEpochIsRejectedUnlessFencingIsIgnored) {
   const auto endpoint = Start({.step_ms = 0});
   const std::string pool = "Cassiausher-Pool: a/b\r\nCassiausher-Epoch: ";
   const json body = CompletionBody(false);
-  Ask(*endpoint, "/v1/completions", body, pool + "5\r\n");
+  PostJson(*endpoint, "/v1/completions", body, pool + "5\r\n");
   const json refused =
-      Ask(*endpoint, "/v1/completions", body, pool + "4\r\n", 409);
+      PostJson(*endpoint, "/v1/completions", body, pool + "4\r\n", 409);
   STRCMP_EQUAL("stale_epoch",
                refused["error"]["code"].get<std::string>().c_str());
-  Ask(*endpoint, "/orders", {{"order", "evict_prefixes"}, {"epoch", 7}});
-  Ask(*endpoint, "/orders", {{"order", "evict_prefixes"}, {"epoch", 6}}, "",
-      409);
-  Ask(*endpoint, "/fake/fault", {{"fencing", "ignore"}});
-  Ask(*endpoint, "/v1/completions", body, pool + "4\r\n");
+  PostJson(*endpoint, "/orders", {{"order", "evict_prefixes"}, {"epoch", 7}});
+  PostJson(*endpoint, "/orders", {{"order", "evict_prefixes"}, {"epoch", 6}},
+           "", 409);
+  PostJson(*endpoint, "/fake/fault", {{"fencing", "ignore"}});
+  PostJson(*endpoint, "/v1/completions", body, pool + "4\r\n");
   STRCMP_EQUAL("ignore",
                endpoint->State()["fencing"].get<std::string>().c_str());
 }
 
-TEST(FakeEndpoint, ServesTheQueueByPriority) {
+TEST(FakeEndpoint, QueuedRequestsRunInPriorityOrder) {
   const auto endpoint = Start({.slots = 1, .step_ms = 2, .output_tokens = 20});
   RawHttpClient first(endpoint->url(), "/v1/completions",
-                      CompletionBody(true).dump(), Request("r1"));
+                      CompletionBody(true).dump(), RequestIdHeader("r1"));
   CHECK(first.WaitFor("id: 1\n"));
   json low = CompletionBody(true);
   low["priority"] = 9;
@@ -264,49 +272,50 @@
   CHECK(late.WaitFor("[DONE]"));
 }
 
-TEST(FakeEndpoint, FaultsMakeChunksLateAndRepeated) {
+TEST(FakeEndpoint, LateAndRepeatFaultsReorderAndDuplicateChunks) {
   const auto endpoint = Start({.step_ms = 0, .output_tokens = 200});
-  Ask(*endpoint, "/fake/fault", {{"late_rate", 0.3}, {"repeat_rate", 0.3}});
+  PostJson(*endpoint, "/fake/fault",
+           {{"late_rate", 0.3}, {"repeat_rate", 0.3}});
   RawHttpClient client(endpoint->url(), "/v1/completions",
                        CompletionBody(true).dump());
-  const Events events = ParseEvents(client.Body());
+  const Events events = ParseEvents(client.ReadBody());
   const std::set<int> distinct(events.ids.begin(), events.ids.end());
   CHECK(!std::is_sorted(events.ids.begin(), events.ids.end()));
   CHECK(distinct.size() < events.ids.size());
   LONGS_EQUAL(AnswerLength(TextHash(kPrompt), 200, 0), distinct.size());
 }
 
-TEST(FakeEndpoint, FaultsStallRefuseAndFail) {
+TEST(FakeEndpoint, StallCancelAndErrorFaultsApplyAndInvalidFieldsAreRejected) {
   const auto endpoint = Start({.step_ms = 0});
-  Ask(*endpoint, "/fake/fault", {{"stall_ms", 300}});
+  PostJson(*endpoint, "/fake/fault", {{"stall_ms", 300}});
   RawHttpClient client(endpoint->url(), "/v1/completions",
-                       CompletionBody(true).dump(), Request("r1"));
+                       CompletionBody(true).dump(), RequestIdHeader("r1"));
   RunFor(150);
   client.Poll();
   LONGS_EQUAL(0, client.status());
   CHECK(client.WaitFor("[DONE]"));
-  Ask(*endpoint, "/fake/fault", {{"refuse_cancels", true}});
-  Ask(*endpoint, "/cancel", {{"request_id", "r1"}}, "", 500);
-  Ask(*endpoint, "/fake/fault", {{"error_rate", 1.0}});
-  Ask(*endpoint, "/v1/completions", CompletionBody(true), "", 500);
-  const json wrong = Ask(*endpoint, "/fake/fault",
-                         {{"late_rate", 2}, {"unknown", 1}}, "", 400);
+  PostJson(*endpoint, "/fake/fault", {{"refuse_cancels", true}});
+  PostJson(*endpoint, "/cancel", {{"request_id", "r1"}}, "", 500);
+  PostJson(*endpoint, "/fake/fault", {{"error_rate", 1.0}});
+  PostJson(*endpoint, "/v1/completions", CompletionBody(true), "", 500);
+  const json wrong = PostJson(*endpoint, "/fake/fault",
+                              {{"late_rate", 2}, {"unknown", 1}}, "", 400);
   STRCMP_CONTAINS("late_rate, unknown",
                   wrong["error"]["message"].get<std::string>().c_str());
 }
 
-TEST(FakeEndpoint, PlainServiceCountsExecutionsByKey) {
+TEST(FakeEndpoint, PlainServiceCountsExecutionsByIdempotencyKey) {
   const auto endpoint = Start({.role = EndpointRole::kPlain, .step_ms = 0});
-  const std::string key = Request("r1") + "Idempotency-Key: k1\r\n";
-  const json answer = Ask(*endpoint, "/orders/7", {{"a", 1}}, key);
+  const std::string key = RequestIdHeader("r1") + "Idempotency-Key: k1\r\n";
+  const json answer = PostJson(*endpoint, "/orders/7", {{"a", 1}}, key);
   STRCMP_EQUAL("/orders/7", answer["path"].get<std::string>().c_str());
   STRCMP_EQUAL(fmt::format("{:08x}", TextHash(json({{"a", 1}}).dump())).c_str(),
                answer["body_hash"].get<std::string>().c_str());
-  Ask(*endpoint, "/orders/7", {{"a", 1}}, key);
+  PostJson(*endpoint, "/orders/7", {{"a", 1}}, key);
   LONGS_EQUAL(2, endpoint->State()["executions"]["k1"].get<int>());
 }
 
-TEST(FakeEndpoint, AnnouncesItselfAndItsDeparture) {
+TEST(FakeEndpoint, AnnouncementsTryNextUrlAndReportDeparture) {
   std::vector<json> announcements;
   SoupServer* instance = soup_server_new(nullptr, nullptr);
   soup_server_add_handler(
@@ -326,7 +335,7 @@
   const int port = g_uri_get_port(static_cast<GUri*>(uris->data));
   g_slist_free_full(uris, reinterpret_cast<GDestroyNotify>(&g_uri_unref));
   {
-    // The first URL refuses connections: the next one of the list is tried.
+    // The first URL refuses connections, so the next one must be tried.
     const auto endpoint =
         Start({.name = "r1",
                .announce_urls = {"http://127.0.0.1:1",
@@ -339,7 +348,7 @@
     bool departed = false;
     endpoint->Depart([&] { departed = true; });
     CHECK(RunUntil([&] { return announcements.back()["departing"] == true; }));
-    Ask(*endpoint, "/v1/completions", CompletionBody(false));
+    PostJson(*endpoint, "/v1/completions", CompletionBody(false));
     CHECK(RunUntil([&] { return departed; }));
     LONGS_EQUAL(1, endpoint->State()["new_work_since_departing"].get<int>());
     LONGS_EQUAL(0, endpoint->State()["new_work_2s_after_departing"].get<int>());
--- a/tests/tools/faults_test.py
+++ b/tests/tools/faults_test.py
@@ -1,5 +1,5 @@
-"""Guards against a fault script that signals a process it must not, that
-leaves one stopped, or whose records the checker can't read."""
+"""Guards against scripts/faults.py signalling the wrong process, leaving a
+process stopped, or writing records that the checker can't parse."""
 
 import json
 import os
@@ -12,12 +12,12 @@
 import unittest
 import urllib.request
 
-BIN = pathlib.Path(sys.argv.pop())
-FAULTS = pathlib.Path(__file__).resolve().parents[2] / "scripts" / "faults.py"
-PATIENCE_S = 10
+BIN_DIR = pathlib.Path(sys.argv.pop())
+FAULTS_SCRIPT = pathlib.Path(__file__).resolve().parents[2] / "scripts" / "faults.py"
+TIMEOUT_S = 10
 
 
-def state_of(pid):
+def process_state(pid):
     with open(f"/proc/{pid}/stat") as stat:
         return stat.read().rsplit(")", 1)[1].split()[0]
 
@@ -31,7 +31,7 @@
             port = free.getsockname()[1]
         self.url = f"http://127.0.0.1:{port}"
         self.endpoint = subprocess.Popen(
-            [BIN / "cassiausher_fake_endpoint", "--name", "e1", "--service", "s", "--listen", f"127.0.0.1:{port}"],
+            [BIN_DIR / "cassiausher_fake_endpoint", "--name", "e1", "--service", "s", "--listen", f"127.0.0.1:{port}"],
             stderr=subprocess.DEVNULL)
         self.wait_for(lambda: self.state() is not None)
         self.write(self.endpoint.pid)
@@ -53,57 +53,57 @@
             return None
 
     def wait_for(self, condition):
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not condition():
-            self.assertLess(time.monotonic(), end, "the condition never held")
+            self.assertLess(time.monotonic(), end, "timed out waiting for the condition")
             time.sleep(0.02)
 
     def faults(self, *arguments):
-        return subprocess.run([sys.executable, FAULTS, *arguments, "--addresses", self.addresses],
+        return subprocess.run([sys.executable, FAULTS_SCRIPT, *arguments, "--addresses", self.addresses],
                               capture_output=True, text=True, timeout=60, check=False)
 
     def records(self, result):
         return [json.loads(line) for line in result.stdout.splitlines()]
 
-    def test_kill_ends_the_process_and_is_recorded(self):
+    def test_kill_terminates_the_process_and_is_recorded(self):
         record = self.records(self.faults("kill", "e1"))[0]
-        self.assertEqual(self.endpoint.wait(PATIENCE_S), -9)
+        self.assertEqual(self.endpoint.wait(TIMEOUT_S), -9)
         self.assertEqual((record["fault"], record["target"]), ("kill", "e1"))
-        self.assertLess(abs(record["unix_ms"] / 1000 - time.time()), PATIENCE_S)
+        self.assertLess(abs(record["unix_ms"] / 1000 - time.time()), TIMEOUT_S)
 
-    def test_term_ends_the_process_in_order(self):
+    def test_term_exits_with_status_0(self):
         self.faults("term", "e1")
-        self.assertEqual(self.endpoint.wait(PATIENCE_S), 0)
+        self.assertEqual(self.endpoint.wait(TIMEOUT_S), 0)
 
-    def test_stop_continues_the_process(self):
-        script = subprocess.Popen([sys.executable, FAULTS, "stop", "e1", "--stop-seconds", "0.5",
+    def test_stop_resumes_the_process_after_its_duration(self):
+        script = subprocess.Popen([sys.executable, FAULTS_SCRIPT, "stop", "e1", "--stop-seconds", "0.5",
                                    "--addresses", self.addresses], stdout=subprocess.PIPE, text=True)
-        self.wait_for(lambda: state_of(self.endpoint.pid) == "T")
-        output, _ = script.communicate(timeout=PATIENCE_S)
-        self.assertNotEqual(state_of(self.endpoint.pid), "T")
+        self.wait_for(lambda: process_state(self.endpoint.pid) == "T")
+        output, _ = script.communicate(timeout=TIMEOUT_S)
+        self.assertNotEqual(process_state(self.endpoint.pid), "T")
         self.assertEqual(json.loads(output)["duration_ms"], 500)
 
-    def test_an_ended_script_leaves_nothing_stopped(self):
-        script = subprocess.Popen([sys.executable, FAULTS, "stop", "e1", "--stop-seconds", "60",
+    def test_terminating_the_script_resumes_the_stopped_process(self):
+        script = subprocess.Popen([sys.executable, FAULTS_SCRIPT, "stop", "e1", "--stop-seconds", "60",
                                    "--addresses", self.addresses], stdout=subprocess.DEVNULL)
-        self.wait_for(lambda: state_of(self.endpoint.pid) == "T")
+        self.wait_for(lambda: process_state(self.endpoint.pid) == "T")
         script.terminate()
-        script.wait(PATIENCE_S)
-        self.assertNotEqual(state_of(self.endpoint.pid), "T")
+        script.wait(TIMEOUT_S)
+        self.assertNotEqual(process_state(self.endpoint.pid), "T")
 
-    def test_fake_faults_reach_the_stand_in(self):
+    def test_fake_sets_faults_of_the_endpoint_and_rejects_unknown_ones(self):
         self.faults("fake", "e1", '{"fencing":"ignore"}')
         self.assertEqual(self.state()["fencing"], "ignore")
         result = self.faults("fake", "e1", '{"nonsense":1}')
         self.assertNotEqual(result.returncode, 0)
         self.assertIn("nonsense", result.stderr)
 
-    def test_the_checker_reads_the_records(self):
+    def test_checker_reads_the_records_and_rejects_a_truncated_history(self):
         folder = pathlib.Path(self.folder.name)
         records = folder / "faults.jsonl"
         history = folder / "history.jsonl"
         self.faults("stop", "e1", "--stop-seconds", "0.1", "--log", records)
-        load = [BIN / "cassiausher_load", "direct", "--url", self.url, "--requests", "5", "--settle-ms", "0",
+        load = [BIN_DIR / "cassiausher_load", "direct", "--url", self.url, "--requests", "5", "--settle-ms", "0",
                 "--history", history, "--faults", records, "--check", "--format", "json"]
         result = subprocess.run(load, capture_output=True, text=True, timeout=60, check=False)
         self.assertEqual(result.returncode, 0, result.stdout + result.stderr)
@@ -111,14 +111,14 @@
         self.assertEqual((report["answered"], report["violations"]), (5, 0))
         self.assertIn('"fault":"stop"', history.read_text())
         history.write_text("\n".join(history.read_text().splitlines()[:-1]) + "\n")
-        check = [BIN / "cassiausher_load", "check", history, "--faults", records]
+        check = [BIN_DIR / "cassiausher_load", "check", history, "--faults", records]
         result = subprocess.run(check, capture_output=True, text=True, timeout=60, check=False)
         self.assertEqual(result.returncode, 1)
         self.assertIn("cut short", result.stderr)
 
-    def test_other_processes_are_left_alone(self):
+    def test_unlisted_and_reused_pids_are_not_signalled(self):
         self.assertNotEqual(self.faults("kill", "e2").returncode, 0)
-        # The id of a listed process that another program has by now.
+        # The listed pid has been reused by another program.
         other = subprocess.Popen(["sleep", "60"])
         try:
             self.write(other.pid)
@@ -128,7 +128,7 @@
             other.kill()
             other.wait()
 
-    def test_a_seed_repeats_its_faults(self):
+    def test_same_seed_gives_the_same_faults(self):
         arguments = ("random", "--kinds", "late,repeat,stall", "--seconds", "1", "--every", "0.1", "--seed", "7")
         first = [record["fault"] for record in self.records(self.faults(*arguments))]
         second = [record["fault"] for record in self.records(self.faults(*arguments))]
--- a/tests/tools/load_run_test.cc
+++ b/tests/tools/load_run_test.cc
@@ -60,7 +60,7 @@
   }
   void Fault(const char* fault) {
     RawHttpClient client(endpoint->url(), "/fake/fault", fault);
-    client.Body();
+    client.ReadBody();
     LONGS_EQUAL(200, client.status());
   }
   LoadTotals Run() {
--- a/tests/tools/raw_http_client.cc
+++ b/tests/tools/raw_http_client.cc
@@ -11,7 +11,7 @@
 namespace cassiausher {
 namespace {
 
-constexpr gulong kPauseUs = 200;
+constexpr gulong kPollIntervalUs = 200;
 
 int Connect(const std::string& url) {
   const std::size_t host_start = url.find("//") + 2;
@@ -33,12 +33,12 @@
 
 }  // namespace
 
-bool RunUntil(const std::function<bool()>& done, int patience_seconds) {
+bool RunUntil(const std::function<bool()>& done, int timeout_seconds) {
   const gint64 limit =
-      g_get_monotonic_time() + patience_seconds * G_USEC_PER_SEC;
+      g_get_monotonic_time() + timeout_seconds * G_USEC_PER_SEC;
   while (!done()) {
     if (g_get_monotonic_time() > limit) return done();
-    if (!g_main_context_iteration(nullptr, FALSE)) g_usleep(kPauseUs);
+    if (!g_main_context_iteration(nullptr, FALSE)) g_usleep(kPollIntervalUs);
   }
   return true;
 }
@@ -86,22 +86,22 @@
   });
 }
 
-std::string RawHttpClient::Body() {
+std::string RawHttpClient::ReadBody() {
   RunUntil([this] {
     Poll();
-    return closed_by_server_ || Complete();
+    return closed_by_server_ || IsComplete();
   });
   return DecodeBody(received_);
 }
 
 int RawHttpClient::status() const {
-  constexpr std::size_t kStatusAt = 9;
-  return received_.size() < kStatusAt
+  constexpr std::size_t kStatusOffset = 9;
+  return received_.size() < kStatusOffset
              ? 0
-             : std::atoi(received_.c_str() + kStatusAt);
+             : std::atoi(received_.c_str() + kStatusOffset);
 }
 
-bool RawHttpClient::Complete() const {
+bool RawHttpClient::IsComplete() const {
   const std::size_t end = received_.find("\r\n\r\n");
   if (end == std::string::npos) return false;
   const std::size_t length = received_.find("Content-Length: ");
