--- a/tools/fake_endpoint/announcer.h
+++ b/tools/fake_endpoint/announcer.h
@@ -40,8 +40,8 @@
 
   /// Announces `url` at once and then every second.
   void Start(std::string url);
-  /// Cancels the requests in progress. Iterate the main context before deleting
-  /// the object, so that their callbacks have run.
+  /// Stops announcing and cancels requests in progress. Iterate the main
+  /// context before deleting the object, so that their callbacks have run.
   void Stop();
   /// Sends an announcement without waiting for the next period.
   void AnnounceNow() { Announce(0); }
