--- a/main/admin_task.h
+++ b/main/admin_task.h
@@ -1,5 +1,5 @@
-// The admin listener: operators' queries and changes, state dump, metrics, and
-// the announcements of endpoints.
+// The admin listener: operators' queries and changes, state dump, metrics,
+// health, and announcements of endpoints.
 #ifndef MAIN_ADMIN_TASK_H_
 #define MAIN_ADMIN_TASK_H_
 
@@ -26,7 +26,7 @@
   void Post(KeysChanged message) { keys_changed_.Post(std::move(message)); }
 
   const std::string& listen_error() const { return listen_error_; }
-  /// Answers /readyz from now on with 503. Safe from any thread.
+  /// Sets whether /readyz answers 200 or 503. Thread-safe.
   void SetReady(bool ready) { ready_.store(ready); }
 
  protected:
@@ -39,10 +39,10 @@
   void HandleStatement(HttpExchangePtr exchange);
   void HandleState(HttpExchangePtr exchange);
   void HandleAnnouncement(HttpExchange& exchange);
-  /// Null after it has answered 401.
+  /// Returns nullopt after answering 401.
   std::optional<TokenOwner> Authorize(HttpExchange& exchange,
                                       const TokenTable& tokens);
-  /// A reply that any thread may call once.
+  /// Returns a thread-safe reply function, to be called at most once.
   std::function<void(int, std::string)> ReplyTo(HttpExchangePtr exchange);
 
   struct Reply {
--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -37,14 +37,14 @@
   return StartReplica(settings_.first_start);
 }
 
-std::string ConfigurationLog::StartReplica(bool may_found) {
+std::string ConfigurationLog::StartReplica(bool may_bootstrap) {
   std::error_code error;
   std::filesystem::create_directories(LogFolder(settings_), error);
   RaftOptions options;
   options.self = InstanceId(settings_.ip);
-  options.new_storage_id = NewStorageNumber();
-  options.seed = NewStorageNumber();
-  options.may_bootstrap = may_found;
+  options.new_storage_id = RandomNonZero();
+  options.seed = RandomNonZero();
+  options.may_bootstrap = may_bootstrap;
   options.heartbeat = kHeartbeat;
   options.election_timeout_min = kElectionTimeoutMin;
   options.election_timeout_max = kElectionTimeoutMax;
--- a/main/configuration_log.h
+++ b/main/configuration_log.h
@@ -1,6 +1,5 @@
-// The replicated configuration of the control instances: the consensus core,
-// the register that it drives, and the group of voters that looks after
-// itself.
+// The replicated configuration of the control instances: Raft, the register
+// that it drives, and the automatic replacement of lost voters.
 #ifndef MAIN_CONFIGURATION_LOG_H_
 #define MAIN_CONFIGURATION_LOG_H_
 
@@ -28,10 +27,11 @@
                           const proto::NodeMessage& message) = 0;
   /// A newer configuration is committed.
   virtual void OnConfiguration(const VersionedDocument& document) = 0;
-  /// A submission is committed, or a higher version is.
+  /// The submitted version, or a higher one, is committed.
   virtual void OnSubmitted(const InstanceId& origin,
                            std::uint64_t submission) = 0;
-  /// `served`: current() holds what was in force when the read began.
+  /// `served`: current() is at least as new as the configuration in force when
+  /// the read began.
   virtual void OnCurrentRead(const InstanceId& origin, std::uint64_t read,
                              bool served) = 0;
 };
@@ -42,7 +42,7 @@
                    GMainContext* context, ConfigurationLogDelegate& delegate);
   ~ConfigurationLog() override;
 
-  /// Returns an error text, empty on success.
+  /// Returns an error message, empty on success.
   std::string Start();
   void OnRaft(const std::string& bytes);
   void Tick(Time now);
@@ -54,16 +54,18 @@
   InstanceId leader() const;
   const VersionedDocument& current() const { return register_.current(); }
 
-  /// Leader only. Answered by OnSubmitted(); not at all if leadership is lost.
+  /// Leader only. Answered by OnSubmitted(); not at all if the proposal is
+  /// refused or leadership is lost.
   void Submit(const InstanceId& origin, std::uint64_t submission,
               const VersionedDocument& document, Time now);
   /// Leader only. Answered by OnCurrentRead().
   void ReadCurrent(const InstanceId& origin, std::uint64_t read, Time now);
 
-  /// What the leader tells the others of the group; null elsewhere.
+  /// The group's members, which the leader sends to the other instances. Null
+  /// if this instance doesn't lead or the membership isn't committed.
   std::unique_ptr<proto::Members> Members() const;
-  /// A replica that was replaced while it was away starts anew with an empty
-  /// log, as a spare.
+  /// A replica that was replaced while it was unreachable restarts with an
+  /// empty log, as a spare.
   void OnMembers(const proto::Members& members);
 
  private:
@@ -84,7 +86,7 @@
   void OnRead(const ReadResult& read) override;
   void OnRoleChanged() override;
 
-  std::string StartReplica(bool may_found);
+  std::string StartReplica(bool may_bootstrap);
   void Apply(VersionedDocument document);
   void AdvanceVoters(Time now);
   void Compact();
@@ -95,7 +97,7 @@
   ConfigurationLogDelegate& delegate_;
   std::unique_ptr<RaftHost> host_;
   ConfigurationRegister register_;
-  /// By the index of their entry.
+  /// By log index.
   std::map<LogIndex, Proposal> proposals_;
   std::map<std::uint64_t, Waiter> reads_;
   std::uint64_t next_read_ = 1;
--- a/main/configuration_service.cc
+++ b/main/configuration_service.cc
@@ -16,10 +16,10 @@
 
 // See kConfigurationLease in replica_host.cc.
 constexpr Duration kFollowInterval = Milliseconds(600);
-constexpr Duration kChangeRetry = Milliseconds(400);
+constexpr Duration kChangeRetryInterval = Milliseconds(400);
 // Longer than the change timeout and an election together.
-constexpr Duration kChangePatience = Seconds(12);
-constexpr Duration kCommandRetry = Milliseconds(250);
+constexpr Duration kChangeTimeout = Seconds(12);
+constexpr Duration kCommandRetryInterval = Milliseconds(250);
 constexpr const char* kStorageName = "file_log";
 
 constexpr int kStatusOk = 200;
@@ -69,7 +69,7 @@
 
 // ---- Way to the leader ---------------------------------------------------
 
-InstanceId ConfigurationService::TowardsLeader() const {
+InstanceId ConfigurationService::NextHopToLeader() const {
   if (replica_ != nullptr && !replica_->leader().empty()) {
     return replica_->leader();
   }
@@ -85,7 +85,7 @@
   return near[voter_rotation_ % near.size()];
 }
 
-bool ConfigurationService::PassToLeader(const proto::Envelope& envelope) {
+bool ConfigurationService::ForwardToLeader(const proto::Envelope& envelope) {
   if (leading()) return false;
   if (replica_ == nullptr) return true;
   const InstanceId leader = replica_->leader();
@@ -107,9 +107,9 @@
 
 void ConfigurationService::SendChange(std::uint64_t id, PendingChange& pending,
                                       Time now) {
-  pending.next_send = now + kChangeRetry;
+  pending.next_send = now + kChangeRetryInterval;
   if (leading()) {
-    SubmitHere({context_.settings.instance, id}, pending.change, now);
+    SubmitLocally({context_.settings.instance, id}, pending.change, now);
     return;
   }
   proto::Envelope envelope;
@@ -117,13 +117,13 @@
   request->set_id(id);
   request->set_origin(context_.settings.instance.value());
   request->set_text(pending.change.text);
-  const InstanceId to = TowardsLeader();
+  const InstanceId to = NextHopToLeader();
   if (!to.empty()) context_.send(to, envelope);
 }
 
 void ConfigurationService::OnChangeRequest(const proto::Envelope& envelope,
                                            Time now) {
-  if (PassToLeader(envelope)) return;
+  if (ForwardToLeader(envelope)) return;
   const proto::ChangeRequest& request = envelope.change_request();
   const Statement statement = ParseStatement(request.text());
   const auto* change = std::get_if<Change>(&statement);
@@ -131,11 +131,11 @@
     malformed_.Add();
     return;
   }
-  SubmitHere({InstanceId(request.origin()), request.id()}, *change, now);
+  SubmitLocally({InstanceId(request.origin()), request.id()}, *change, now);
 }
 
-void ConfigurationService::SubmitHere(const Origin& origin,
-                                      const Change& change, Time now) {
+void ConfigurationService::SubmitLocally(const Origin& origin,
+                                         const Change& change, Time now) {
   // A repeated request of an open submission is answered with it.
   if (!submitted_.insert(origin).second) return;
   const std::uint64_t submission = next_submission_++;
@@ -153,8 +153,8 @@
   AnswerChange(origin, ToJson(answer).dump());
 }
 
-void ConfigurationService::OnSubmissionLost(std::uint64_t submission,
-                                            const std::string&) {
+void ConfigurationService::OnSubmissionAbandoned(std::uint64_t submission,
+                                                 const std::string&) {
   // The origin sends its change again, under the same change id.
   const auto found = submissions_.find(submission);
   if (found == submissions_.end()) return;
@@ -184,20 +184,20 @@
 
 // ---- Ledger --------------------------------------------------------------
 
-void ConfigurationService::Command(const LedgerEntry& entry, Duration patience,
+void ConfigurationService::Command(const LedgerEntry& entry, Duration timeout,
                                    LedgerReply reply, Time now) {
   const std::uint64_t id = next_id_++;
   PendingCommand& pending = commands_[id];
-  pending = {entry, std::move(reply), now + patience, now};
+  pending = {entry, std::move(reply), now + timeout, now};
   SendCommand(id, pending, now);
 }
 
 void ConfigurationService::SendCommand(std::uint64_t id,
                                        PendingCommand& pending, Time now) {
-  pending.next_send = now + kCommandRetry;
+  pending.next_send = now + kCommandRetryInterval;
   if (leading()) {
     const LedgerEntry entry = pending.entry;
-    CommandHere({context_.settings.instance, id}, entry, now);
+    ProposeLocally({context_.settings.instance, id}, entry, now);
     return;
   }
   proto::Envelope envelope;
@@ -205,24 +205,24 @@
   request->set_id(id);
   request->set_origin(context_.settings.instance.value());
   request->set_command(EncodeLedgerEntry(pending.entry));
-  const InstanceId to = TowardsLeader();
+  const InstanceId to = NextHopToLeader();
   if (!to.empty()) context_.send(to, envelope);
 }
 
 void ConfigurationService::OnLedgerRequest(const proto::Envelope& envelope,
                                            Time now) {
-  if (PassToLeader(envelope)) return;
+  if (ForwardToLeader(envelope)) return;
   const proto::LedgerRequest& request = envelope.ledger_request();
   const auto entry = DecodeLedgerEntry(request.command());
   if (!entry.has_value()) {
     malformed_.Add();
     return;
   }
-  CommandHere({InstanceId(request.origin()), request.id()}, *entry, now);
+  ProposeLocally({InstanceId(request.origin()), request.id()}, *entry, now);
 }
 
-void ConfigurationService::CommandHere(const Origin& origin,
-                                       const LedgerEntry& entry, Time now) {
+void ConfigurationService::ProposeLocally(const Origin& origin,
+                                          const LedgerEntry& entry, Time now) {
   const std::uint64_t command = next_submission_++;
   ledger_origins_[command] = origin;
   replica_->ProposeLedger(command, entry, now);
@@ -331,7 +331,7 @@
       return;
     }
   }
-  PassToLeader(envelope);
+  ForwardToLeader(envelope);
 }
 
 void ConfigurationService::DispatchFollower(Time now) {
@@ -340,7 +340,7 @@
       if (leading()) {
         replica_->OnConfigurationMessage(follow->follow, now);
       } else {
-        const InstanceId to = TowardsLeader();
+        const InstanceId to = NextHopToLeader();
         if (!to.empty()) SendConfiguration(to, follow->follow);
       }
     } else if (const auto* send = std::get_if<SendToInstance>(&output)) {
@@ -420,8 +420,8 @@
   DispatchFollower(now);
   UpdateGate(now);
   const bool lease = follower_.LeaseValid(now);
-  if (lease != had_lease_) {
-    had_lease_ = lease;
+  if (lease != had_valid_lease_) {
+    had_valid_lease_ = lease;
     Log(lease ? LogLevel::kInfo : LogLevel::kWarning,
         lease ? "configuration_lease_gained" : "configuration_lease_lost");
   }
@@ -429,7 +429,7 @@
   std::vector<std::uint64_t> expired;
   bool repeated = false;
   for (auto& [id, pending] : changes_) {
-    if (now - pending.started >= kChangePatience) {
+    if (now - pending.started >= kChangeTimeout) {
       expired.push_back(id);
     } else if (now >= pending.next_send) {
       repeated = true;
--- a/main/configuration_service.h
+++ b/main/configuration_service.h
@@ -1,5 +1,5 @@
-// The replicated state as one instance sees it: the configuration it runs, its
-// voter's part in the log if it has a disk, and the way of changes and ledger
+// The replicated state on one instance: the active configuration, the replica
+// of the log if the instance votes, and the forwarding of changes and ledger
 // commands to the leader.
 #ifndef MAIN_CONFIGURATION_SERVICE_H_
 #define MAIN_CONFIGURATION_SERVICE_H_
@@ -27,10 +27,10 @@
 
 class ConfigurationService : public ReplicaDelegate {
  public:
-  /// `answer` is the JSON body for the operator.
+  /// `answer` is the JSON response body for the operator.
   using ChangeReply = std::function<void(int status, std::string answer)>;
-  /// Nothing: no answer from a quorum in time; the command may still be
-  /// committed later.
+  /// Called with nullopt if no commit was confirmed in time; the command may
+  /// still be committed later.
   using LedgerReply = std::function<void(std::optional<LedgerAnswer>)>;
   using ConfigurationListener =
       std::function<void(std::shared_ptr<const Configuration>)>;
@@ -40,12 +40,13 @@
   /// Opens the log if this instance votes. An instance whose log can't be
   /// opened serves without voting.
   void Start();
-  /// `members`: live by data centre. `reachable`: those this instance can
-  /// reach. `started`: incarnation at the start of each live instance's run.
+  /// `members`: live instances by data centre. `reachable`: those that this
+  /// instance can reach. `started`: incarnation at which each live instance's
+  /// run started.
   void SetMembers(LiveMembers members, std::set<InstanceId> reachable,
                   std::map<InstanceId, Incarnation> started, Time now);
   /// False while this instance may have missed changes: it has no
-  /// configuration, or is back from a cut and has not followed the log yet.
+  /// configuration, or hasn't caught up with the log after a partition.
   bool may_admit() const { return gate_.MayAdmit(); }
   void OnInstanceLost(const InstanceId& instance, Incarnation incarnation,
                       Time now);
@@ -56,15 +57,15 @@
 
   /// `change` is the parsed form of `text`; the permission has been checked.
   void Submit(const Change& change, ChangeReply reply, Time now);
-  /// Sends the command until it is committed or `patience` has passed.
-  void Command(const LedgerEntry& entry, Duration patience, LedgerReply reply,
+  /// Retries the command until it is committed or `timeout` has elapsed.
+  void Command(const LedgerEntry& entry, Duration timeout, LedgerReply reply,
                Time now);
 
   const std::shared_ptr<const Configuration>& active() const { return active_; }
   bool lease_valid(Time now) const { return follower_.LeaseValid(now); }
   bool votes() const { return replica_ != nullptr; }
   bool leading() const { return replica_ != nullptr && replica_->leading(); }
-  /// Null on an instance without a voter's log.
+  /// Null on an instance that doesn't vote.
   const ReplicatedState* state() const {
     return replica_ == nullptr ? nullptr : &replica_->state();
   }
@@ -78,40 +79,41 @@
                          const ConfigurationMessage& message) override;
   void OnSubmissionAnswered(std::uint64_t submission,
                             const ChangeAnswer& answer) override;
-  void OnSubmissionLost(std::uint64_t submission,
-                        const std::string& reason) override;
+  void OnSubmissionAbandoned(std::uint64_t submission,
+                             const std::string& reason) override;
   void OnLedgerCommand(std::uint64_t command, bool committed,
                        const LedgerAnswer& answer) override;
   void OnStateApplied(const ReplicatedState& state) override;
 
  private:
-  /// A change or command of this instance that waits for the leader's answer.
+  /// A change submitted at this instance that awaits the leader's answer.
   struct PendingChange {
     Change change;
     ChangeReply reply;
     Time started{};
     Time next_send{};
   };
+  /// A ledger command of this instance that awaits the leader's answer.
   struct PendingCommand {
     LedgerEntry entry;
     LedgerReply reply;
     Time deadline{};
     Time next_send{};
   };
-  /// Who gets the answer to a submission at this leader.
+  /// Instance that gets the answer to a submission, and its own id for it.
   struct Origin {
     InstanceId instance;
     std::uint64_t id = 0;
     auto operator<=>(const Origin&) const = default;
   };
 
-  /// Where to send what is for the leader: the leader if known, else a live
+  /// Next hop for a message to the leader: the leader if known, else a live
   /// voter, those of this data centre first. Empty if there is none.
-  InstanceId TowardsLeader() const;
+  InstanceId NextHopToLeader() const;
   void RotateVoter() { ++voter_rotation_; }
-  /// Returns true if the message was passed on or dropped, because this
-  /// instance doesn't lead.
-  bool PassToLeader(const proto::Envelope& envelope);
+  /// Returns false if this instance leads. Otherwise forwards the message, or
+  /// drops it if no leader is known, and returns true.
+  bool ForwardToLeader(const proto::Envelope& envelope);
 
   void SendChange(std::uint64_t id, PendingChange& pending, Time now);
   void SendCommand(std::uint64_t id, PendingCommand& pending, Time now);
@@ -121,8 +123,8 @@
   void OnLedgerReply(const proto::LedgerReply& reply, Time now);
   void OnConfigurationBytes(const proto::Envelope& envelope,
                             const InstanceId& sender, Time now);
-  void SubmitHere(const Origin& origin, const Change& change, Time now);
-  void CommandHere(const Origin& origin, const LedgerEntry& entry, Time now);
+  void SubmitLocally(const Origin& origin, const Change& change, Time now);
+  void ProposeLocally(const Origin& origin, const LedgerEntry& entry, Time now);
   void AnswerChange(const Origin& origin, const std::string& answer);
   void DispatchFollower(Time now);
   void UpdateGate(Time now);
@@ -138,13 +140,13 @@
   std::shared_ptr<const Configuration> active_;
   std::set<InstanceId> live_;
   std::size_t voter_rotation_ = 0;
-  bool had_lease_ = false;
+  bool had_valid_lease_ = false;
   AdmissionGate gate_;
 
   std::uint64_t next_id_ = 1;
   std::map<std::uint64_t, PendingChange> changes_;
   std::map<std::uint64_t, PendingCommand> commands_;
-  /// While leading: submissions and commands of all instances.
+  // While leading: submissions and ledger commands of all instances.
   std::map<std::uint64_t, Origin> submissions_;
   std::set<Origin> submitted_;
   std::map<std::uint64_t, Origin> ledger_origins_;
--- a/main/control_context.h
+++ b/main/control_context.h
@@ -1,4 +1,4 @@
-// What the services of the control task share. Everything belongs to that task.
+// State shared by the services of the control task, and used only on that task.
 #ifndef MAIN_CONTROL_CONTEXT_H_
 #define MAIN_CONTROL_CONTEXT_H_
 
@@ -20,12 +20,12 @@
   Metrics& metrics;
   GMainContext* main_context = nullptr;
   int serving_tasks = 0;
-  /// Of this run of the process.
+  /// Identifies this run of the process.
   Incarnation incarnation{0};
   /// Never blocks; a message that can't be sent is dropped and counted.
   std::function<void(const InstanceId&, proto::Envelope&)> send;
   std::function<void(int serving_task, ServingMessage)> to_serving;
-  /// Posts to the control task itself. Safe from any thread.
+  /// Posts to the control task itself. Thread-safe.
   std::function<void(ControlMessage)> post;
 };
 
--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -22,7 +22,7 @@
 constexpr Duration kFollowerLifetime = Seconds(6);
 // A control instance is told to others only while it is heard from itself, so
 // that one that is gone isn't passed around for ever.
-constexpr Duration kToldLifetime = Seconds(10);
+constexpr Duration kAdvertisedLifetime = Seconds(10);
 constexpr Duration kControlLifetime = Seconds(30);
 // Heartbeats heard since the last sync, with a margin for late ticks.
 constexpr Duration kSyncOverlap = Milliseconds(300);
@@ -79,7 +79,7 @@
   const Time now = BootTimeNow();
   for (const SocketAddress& seed : settings_.seeds) {
     if (seed.ip == settings_.ip) continue;
-    controls_.try_emplace(InstanceId(seed.ip), Control{.learned_at = now});
+    controls_.try_emplace(InstanceId(seed.ip), ControlPeer{.learned_at = now});
   }
 }
 
@@ -142,7 +142,7 @@
        {"sequence", record.sequence}});
   proto::Sync sync;
   *sync.add_records() = cassiausher::ToProto(record);
-  for (const InstanceId& control : OtherControls()) SendSync(control, sync);
+  for (const InstanceId& control : KnownControls()) SendSync(control, sync);
   UpdateFollowers();
 }
 
@@ -301,10 +301,10 @@
   }
 }
 
-EndpointLoads ControlNode::LoadsWithout(const InstanceId& left_out) const {
+EndpointLoads ControlNode::LoadsExcept(const InstanceId& excluded) const {
   EndpointLoads loads;
   for (const auto& [instance, follower] : followers_) {
-    if (instance != left_out) AddLoads(follower.loads, &loads);
+    if (instance != excluded) AddLoads(follower.loads, &loads);
   }
   return loads;
 }
@@ -322,20 +322,20 @@
     update->add_silent_endpoints(id.value());
   }
   for (const EndpointId& id :
-       stage_orders_.Changing(registry_, BootTimeNow())) {
+       stage_orders_.ChangingEndpoints(registry_, BootTimeNow())) {
     update->add_changing_endpoints(id.value());
   }
   if (log_.current().version > follower.configuration) {
     *update->mutable_configuration() = cassiausher::ToProto(log_.current());
   }
   update->add_control_instances(settings_.ip);
-  for (const InstanceId& control : HeardControls()) {
+  for (const InstanceId& control : LiveControls()) {
     update->add_control_instances(control.value());
   }
   // The receiver knows its own work better, and takes others' from one control
   // instance only.
   if (follower.wants_placements) {
-    WriteLoads(LoadsWithout(to), update->mutable_loads());
+    WriteLoads(LoadsExcept(to), update->mutable_loads());
   }
   follower.placed.clear();
   update->set_entry_instances(static_cast<std::uint32_t>(followers_.size()));
@@ -346,28 +346,29 @@
   for (auto& [instance, follower] : followers_) SendUpdate(instance, follower);
 }
 
-std::vector<InstanceId> ControlNode::OtherControls() const {
+std::vector<InstanceId> ControlNode::KnownControls() const {
   std::vector<InstanceId> others;
   for (const auto& [instance, control] : controls_) others.push_back(instance);
   return others;
 }
 
-std::vector<InstanceId> ControlNode::HeardControls() const {
+std::vector<InstanceId> ControlNode::LiveControls() const {
   const Time now = BootTimeNow();
   std::vector<InstanceId> heard;
   for (const auto& [instance, control] : controls_) {
     if (!control.heard_at.has_value()) continue;
-    if (now - *control.heard_at < kToldLifetime) heard.push_back(instance);
+    if (now - *control.heard_at < kAdvertisedLifetime)
+      heard.push_back(instance);
   }
   return heard;
 }
 
-void ControlNode::LearnControls(
+void ControlNode::AddControls(
     const google::protobuf::RepeatedPtrField<std::string>& controls) {
   const Time now = BootTimeNow();
   for (const std::string& ip : controls) {
     if (ip == settings_.ip) continue;
-    if (controls_.try_emplace(InstanceId(ip), Control{.learned_at = now})
+    if (controls_.try_emplace(InstanceId(ip), ControlPeer{.learned_at = now})
             .second) {
       Log(LogLevel::kInfo, "control_found", {{"control", ip}});
     }
@@ -383,7 +384,7 @@
 
 void ControlNode::OnSync(const InstanceId& from, const proto::Sync& sync) {
   const Time now = BootTimeNow();
-  Control& control = controls_[from];
+  ControlPeer& control = controls_[from];
   control.learned_at = now;
   control.heard_at = now;
   bool changed = false;
@@ -396,7 +397,7 @@
     changed |= registry_.Update(record, now);
   }
   if (changed) UpdateFollowers();
-  LearnControls(sync.control_instances());
+  AddControls(sync.control_instances());
   if (sync.has_members()) log_.OnMembers(sync.members());
   if (sync.whole_registry()) synced_with_.insert(from);
   if (!sync.wants_registry()) return;
@@ -415,13 +416,13 @@
     *sync.add_records() = cassiausher::ToProto(record);
   }
   sync.add_control_instances(settings_.ip);
-  for (const InstanceId& control : HeardControls()) {
+  for (const InstanceId& control : LiveControls()) {
     sync.add_control_instances(control.value());
   }
   if (auto members = log_.Members()) {
     sync.set_allocated_members(members.release());
   }
-  for (const InstanceId& control : OtherControls()) SendSync(control, sync);
+  for (const InstanceId& control : KnownControls()) SendSync(control, sync);
   last_sync_ = now;
 }
 
@@ -432,9 +433,9 @@
     stage_orders_.OnFollowing();
   }
   if (!configuration_.has_value()) return;
-  const EndpointLoads loads = LoadsWithout(InstanceId());
+  const EndpointLoads loads = LoadsExcept(InstanceId());
   if (!stage_orders_.Plan(*configuration_, registry_, loads, now)) return;
-  confirming_read_ = operator_calls_.NextNumber();
+  confirming_read_ = operator_calls_.NextId();
   log_.ReadCurrent(InstanceId(settings_.ip), confirming_read_, now);
 }
 
--- a/main/control_node.h
+++ b/main/control_node.h
@@ -1,6 +1,6 @@
-// A control instance: takes configurations from operators and heartbeats from
-// endpoints, agrees with the other control instances and tells the entry
-// instances.
+// A control instance: accepts configurations from operators and heartbeats from
+// endpoints, replicates both among the control instances and sends updates to
+// the entry instances.
 #ifndef MAIN_CONTROL_NODE_H_
 #define MAIN_CONTROL_NODE_H_
 
@@ -25,36 +25,37 @@
 
 namespace cassiausher {
 
-/// Runs on one task, whose context it is given.
+/// Runs on a single task, that of `context`.
 class ControlNode : public ConfigurationLogDelegate {
  public:
   ControlNode(NodeSettings settings, const ConfigurationCodec& codec,
               Metrics& metrics, GMainContext* context);
   ~ControlNode() override;
 
-  /// Returns an error text, empty on success.
+  /// Returns an error message, empty on success.
   std::string Start();
-  /// Takes new seeds.
+  /// Applies new seeds; other settings need a restart.
   void Reload(const NodeSettings& settings);
-  /// Hands leadership over; the process may end shortly after.
+  /// Transfers leadership and stops listening. The process may exit shortly
+  /// after.
   void Shutdown();
 
  private:
-  /// An entry instance and what it holds.
+  /// An entry instance and the state it last reported.
   struct Follower {
     Time heard_at{};
     Revision configuration{0};
     std::uint64_t registry_revision = 0;
-    /// Its work in progress.
+    /// Load of its requests in progress.
     EndpointLoads loads;
     bool wants_placements = false;
-    /// What others placed since it was last told.
+    /// Placements of the other entry instances that it hasn't been sent yet.
     EndpointLoads placed;
   };
   /// Another control instance.
-  struct Control {
-    /// When another one or the settings named it, or the time of its last
-    /// message.
+  struct ControlPeer {
+    /// When the settings or another instance named it, or its last Sync
+    /// arrived.
     Time learned_at{};
     std::optional<Time> heard_at;
   };
@@ -66,7 +67,7 @@
   void OnCurrentRead(const InstanceId& origin, std::uint64_t read,
                      bool served) override;
 
-  // Calls from outside.
+  // HTTP calls.
   void OnCall(HttpExchangePtr exchange);
   void OnHeartbeat(const EndpointId& id, HttpExchange& exchange);
   void OnDeparture(const EndpointId& id, HttpExchange& exchange);
@@ -79,20 +80,21 @@
                     const proto::Placements& placements);
   void OnSync(const InstanceId& from, const proto::Sync& sync);
   void OnReadResult(const proto::ReadResult& result);
-  void LearnControls(const google::protobuf::RepeatedPtrField<std::string>&);
-  std::vector<InstanceId> OtherControls() const;
-  std::vector<InstanceId> HeardControls() const;
+  void AddControls(const google::protobuf::RepeatedPtrField<std::string>&);
+  std::vector<InstanceId> KnownControls() const;
+  std::vector<InstanceId> LiveControls() const;
 
   void SendUpdate(const InstanceId& to, Follower& follower);
-  /// Work in progress of the followers but `left_out`.
-  EndpointLoads LoadsWithout(const InstanceId& left_out) const;
+  /// Sum of the followers' loads, except that of `excluded`.
+  EndpointLoads LoadsExcept(const InstanceId& excluded) const;
   void UpdateFollowers();
   void SendPlacements();
   void SendSync(const InstanceId& to, const proto::Sync& sync);
   void PublishRegistryChange(const EndpointRecord& record);
   void Tick();
   void SyncControls(Time now);
-  /// Plans orders to model runners while this instance leads.
+  /// Observes the loads; while this instance leads, plans stage orders to
+  /// runners.
   void BalanceStages(Time now);
 
   NodeSettings settings_;
@@ -109,14 +111,14 @@
   EndpointRegistry registry_;
   StageOrders stage_orders_;
   OperatorCalls operator_calls_;
-  /// The configuration in force, decoded; null before the first.
+  /// The configuration in force, decoded; empty before the first.
   std::optional<ServingConfiguration> configuration_;
-  /// Read that confirms leadership for a planned order; 0 for none.
+  /// Id of the read that confirms leadership for a planned order; 0 for none.
   std::uint64_t confirming_read_ = 0;
   std::map<InstanceId, Follower> followers_;
-  /// Seeds and whatever was learned since.
-  std::map<InstanceId, Control> controls_;
-  /// Control processes that sent their whole registry.
+  /// Seeds, and control instances learned from others.
+  std::map<InstanceId, ControlPeer> controls_;
+  /// Control instances that sent their whole registry since they started.
   std::set<InstanceId> synced_with_;
   std::map<InstanceId, std::uint64_t> control_incarnations_;
   Time next_sync_{};
--- a/main/control_task.cc
+++ b/main/control_task.cc
@@ -21,11 +21,11 @@
 
 constexpr Duration kTickPeriod = Milliseconds(10);
 // Members are told to the services again at least this often.
-constexpr Duration kSpreadPeriod = Seconds(1);
+constexpr Duration kPublishPeriod = Seconds(1);
 // Below the first-token targets that operators set, above an election.
-constexpr Duration kClaimPatience = Seconds(4);
+constexpr Duration kClaimTimeout = Seconds(4);
 // A key stays claimed until its outcome is recorded.
-constexpr Duration kOutcomePatience = Seconds(24 * 3600);
+constexpr Duration kOutcomeTimeout = Seconds(24 * 3600);
 
 std::string_view NameOf(MemberState state) {
   switch (state) {
@@ -111,8 +111,8 @@
           }),
       queries_(context_,
                [this](const std::string& table,
-                      std::function<void(std::vector<Row>)> take) {
-                 GiveRows(table, std::move(take));
+                      std::function<void(std::vector<Row>)> callback) {
+                 CollectRows(table, std::move(callback));
                }),
       mailbox_(context(),
                [this](ControlMessage& message) { Handle(message); }) {}
@@ -235,10 +235,10 @@
   }
 }
 
-void ControlTask::SpreadMembers(Time now) {
-  if (!members_changed_ && now - last_spread_ < kSpreadPeriod) return;
+void ControlTask::PublishMembers(Time now) {
+  if (!members_changed_ && now - last_publish_ < kPublishPeriod) return;
   members_changed_ = false;
-  last_spread_ = now;
+  last_publish_ = now;
   std::set<InstanceId> reachable;
   std::map<InstanceId, Incarnation> started;
   LiveMembers members;
@@ -386,7 +386,7 @@
   const RequestId request = message.claim.request;
   const int task = ServingTaskOf(request, settings_.instance);
   configuration_.Command(
-      LedgerEntry(message.claim), kClaimPatience,
+      LedgerEntry(message.claim), kClaimTimeout,
       [this, request, task](std::optional<LedgerAnswer> answer) {
         context_.to_serving(task, ClaimAnswered{request, std::move(answer)});
       },
@@ -395,7 +395,7 @@
 
 void ControlTask::On(OutcomeReported& message, Time now) {
   configuration_.Command(
-      LedgerEntry(message.result), kOutcomePatience,
+      LedgerEntry(message.result), kOutcomeTimeout,
       [](const std::optional<LedgerAnswer>&) {}, now);
 }
 
@@ -473,21 +473,22 @@
   configuration_.Submit(change, std::move(message.reply), now);
 }
 
-void ControlTask::GiveRows(const std::string& table,
-                           std::function<void(std::vector<Row>)> take) {
+void ControlTask::CollectRows(const std::string& table,
+                              std::function<void(std::vector<Row>)> callback) {
   const Time now = MonotonicNow();
-  if (table == "requests") return GatherRequests(std::move(take));
-  if (table == "endpoints") return take(pools_.EndpointRows(now));
-  if (table == "owners") return take(pools_.OwnerRows(now));
-  if (table == "instances") return take(InstanceRows());
-  if (table == "changes") return take(configuration_.ChangeRows());
-  if (table == "data_centres") return take(DataCentreRows());
-  take(ConfigurationRows(table));
+  if (table == "requests") return GatherRequestRows(std::move(callback));
+  if (table == "endpoints") return callback(pools_.EndpointRows(now));
+  if (table == "owners") return callback(pools_.OwnerRows(now));
+  if (table == "instances") return callback(InstanceRows());
+  if (table == "changes") return callback(configuration_.ChangeRows());
+  if (table == "data_centres") return callback(DataCentreRows());
+  callback(ConfigurationRows(table));
 }
 
-void ControlTask::GatherRequests(std::function<void(std::vector<Row>)> take) {
+void ControlTask::GatherRequestRows(
+    std::function<void(std::vector<Row>)> callback) {
   const std::uint64_t id = next_gather_++;
-  gathers_[id] = {context_.serving_tasks, {}, std::move(take)};
+  gathers_[id] = {context_.serving_tasks, {}, std::move(callback)};
   for (int i = 0; i < context_.serving_tasks; ++i) {
     context_.to_serving(
         i, RequestRowsRequested{[this, id](std::vector<RequestRow> rows) {
@@ -527,7 +528,7 @@
   if (--gather.missing > 0) return;
   const Gather whole = std::move(gather);
   gathers_.erase(found);
-  whole.take(whole.rows);
+  whole.callback(whole.rows);
 }
 
 std::vector<Row> ControlTask::InstanceRows() const {
@@ -655,7 +656,7 @@
     membership_->Tick(now);
     DispatchMembership(now);
   }
-  SpreadMembers(now);
+  PublishMembers(now);
   configuration_.Tick(now);
   pools_.Tick(now);
   queries_.Tick(now);
--- a/main/control_task.h
+++ b/main/control_task.h
@@ -1,5 +1,5 @@
-// The control task: messages between instances, membership, and the services
-// that decide: pools, configuration, queries.
+// The control task: messages between instances, membership, and the pool,
+// configuration and query services.
 #ifndef MAIN_CONTROL_TASK_H_
 #define MAIN_CONTROL_TASK_H_
 
@@ -31,9 +31,9 @@
   const Settings& settings;
   const RoutingPolicyRegistry& policies;
   std::string policy_name = "reserving";
-  /// Empty: messages between instances aren't encrypted.
+  /// If empty, messages between instances aren't encrypted.
   CurveKeys curve_keys;
-  /// Of this run of the process.
+  /// Identifies this run of the process.
   Incarnation incarnation{0};
 };
 
@@ -46,10 +46,10 @@
   ~ControlTask() override;
 
   void Post(ControlMessage message) { mailbox_.Post(std::move(message)); }
-  /// Error of opening the peer port; empty on success. Valid after Start.
+  /// Error from opening the peer port, empty on success. Valid after Start().
   const std::string& listen_error() const { return listen_error_; }
-  /// After ShutdownRequested: true once this instance owns no pool any more, or
-  /// nobody else can take one. Safe from any thread.
+  /// After ShutdownRequested: true once this instance owns no pool, or no other
+  /// instance can take one over. Thread-safe.
   bool handed_over() const { return handed_over_.load(); }
 
  protected:
@@ -57,11 +57,11 @@
   void OnStop() override;
 
  private:
-  /// Rows of all serving tasks, being collected.
+  /// A collection of rows from all serving tasks, in progress.
   struct Gather {
     int missing = 0;
     std::vector<Row> rows;
-    std::function<void(std::vector<Row>)> take;
+    std::function<void(std::vector<Row>)> callback;
   };
 
   void Handle(ControlMessage& message);
@@ -91,19 +91,20 @@
   void StartMembership(Time now);
   void DispatchMembership(Time now);
   void OnMembershipEvent(const MembershipEvent& event, Time now);
-  /// Tells the services who is alive.
-  void SpreadMembers(Time now);
-  /// Spreads this instance's revision and whether it drains.
+  /// Passes the current members to the services.
+  void PublishMembers(Time now);
+  /// Publishes this instance's revision and whether it is draining through
+  /// membership.
   void UpdatePayload(Time now);
   void ConfigureLimits(const Configuration& configuration);
 
   void RunChange(const Change& change, StatementRequested& message, Time now);
-  /// Findings when the operator may not make this change.
+  /// Findings if the operator lacks permission for this change, else none.
   Findings CheckOperator(const Change& change, const TokenOwner& owner,
                          Time now) const;
-  void GiveRows(const std::string& table,
-                std::function<void(std::vector<Row>)> take);
-  void GatherRequests(std::function<void(std::vector<Row>)> take);
+  void CollectRows(const std::string& table,
+                   std::function<void(std::vector<Row>)> callback);
+  void GatherRequestRows(std::function<void(std::vector<Row>)> callback);
   std::vector<Row> InstanceRows() const;
   std::vector<Row> DataCentreRows() const;
   std::vector<Row> ConfigurationRows(const std::string& table) const;
@@ -124,7 +125,8 @@
   Counter& limited_;
   ConfigurationService configuration_;
   QueryService queries_;
-  /// Highest incarnation heard of each peer; older messages are stale.
+  /// Highest incarnation received from each peer; messages with a lower one
+  /// are stale.
   std::map<InstanceId, std::uint64_t> incarnations_;
   std::map<std::uint64_t, Gather> gathers_;
   std::uint64_t next_gather_ = 1;
@@ -133,7 +135,7 @@
   bool members_changed_ = true;
   bool leaving_ = false;
   std::atomic<bool> handed_over_{false};
-  Time last_spread_{};
+  Time last_publish_{};
   std::string listen_error_;
   GSourcePtr timer_;
   Mailbox<ControlMessage> mailbox_;
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -1,5 +1,5 @@
-// The daemon: makes the tasks from the settings, connects them, and ends them
-// in order on a signal.
+// The daemon: creates the tasks from the settings, connects them, and shuts
+// them down in order on a signal.
 #ifndef MAIN_DAEMON_H_
 #define MAIN_DAEMON_H_
 
@@ -21,18 +21,18 @@
 
 class Daemon {
  public:
-  /// `settings_file` is read again on SIGHUP.
+  /// `settings_file` is reloaded on SIGHUP.
   Daemon(Settings settings, std::string settings_file);
   ~Daemon();
 
-  /// Runs until a signal ends it. Returns the exit code.
+  /// Runs until SIGTERM or SIGINT has ended it. Returns the exit code.
   int Run();
 
  private:
-  /// Returns an error text, empty when all tasks run.
+  /// Returns an error message, empty once all tasks run.
   std::string StartTasks();
-  /// Takes over tokens, and addresses and keys of peers. With findings
-  /// everything stays as it was.
+  /// Reloads tokens, and addresses and keys of peers. Changes nothing if the
+  /// settings have findings.
   void Reload();
   void DumpState();
   void BeginShutdown();
--- a/main/node_link.h
+++ b/main/node_link.h
@@ -1,5 +1,5 @@
-// Messages between entry and control instances. An instance is named by its IP
-// number, since nobody keeps a list of names.
+// Messages between entry and control instances. An instance is identified by
+// its IP address, since there is no list of names.
 #ifndef MAIN_NODE_LINK_H_
 #define MAIN_NODE_LINK_H_
 
@@ -17,7 +17,7 @@
 
 namespace cassiausher {
 
-/// Belongs to one task.
+/// Used on one task only.
 class NodeLink {
  public:
   using Handler = std::function<void(const InstanceId& from,
@@ -26,13 +26,13 @@
   NodeLink(const NodeSettings& settings, std::uint64_t incarnation,
            Metrics& metrics, Handler handler);
 
-  /// Returns an error text, empty on success.
+  /// Returns an error message, empty on success.
   std::string Listen(GMainContext* context);
 
   /// Never blocks; the message is dropped if there is no connection. Connects
   /// on the first use.
   void Send(const InstanceId& to, proto::NodeMessage message);
-  /// Drops the connection to an instance that is gone.
+  /// Drops the connection to an instance that has gone.
   void Disconnect(const InstanceId& instance);
 
  private:
@@ -43,7 +43,7 @@
   Counter& malformed_;
   Counter& stale_;
   Handler handler_;
-  /// Latest start of each sender; messages of an earlier one are late.
+  /// Highest incarnation of each sender; messages with a lower one are stale.
   std::map<InstanceId, std::uint64_t> incarnations_;
   PeerTransport transport_;
 };
--- a/main/node_settings.h
+++ b/main/node_settings.h
@@ -13,7 +13,7 @@
 
 namespace cassiausher {
 
-/// "IP:PORT", taken apart.
+/// A parsed "IP:PORT".
 struct SocketAddress {
   std::string ip;
   std::uint16_t port = 0;
@@ -22,7 +22,7 @@
 };
 
 struct NodeSettings {
-  /// Name for logs; messages name an instance by its IP number.
+  /// Name for logs; messages identify an instance by its IP address.
   std::string instance;
   std::string ip;
   DataCentreId data_centre;
@@ -32,25 +32,25 @@
   std::optional<SocketAddress> control;
   /// Port of the messages between instances, the same on each.
   std::uint16_t peer_port = 0;
-  /// Control instances that were there when the settings were written.
+  /// Control instances known when the settings were written.
   std::vector<SocketAddress> seeds;
-  /// The whole deployment starts for the first time.
+  /// This is the first start of the whole deployment.
   bool first_start = false;
-  /// Empty without a disk.
+  /// Empty if the instance has no disk.
   std::string data_folder;
   /// Time from SIGTERM until the process is killed.
   Duration shutdown_grace = Seconds(8);
-  /// Extra calls to endpoints that all instances may make together within ten
-  /// seconds: a share of the requests and a number.
+  /// Retry budget: extra calls to endpoints that all instances together may
+  /// make within ten seconds, as a share of the requests and a fixed number.
   double retry_ratio = 0.2;
   double retry_allowance = 50;
 };
 
-/// Reads settings; every fault is added to `findings` with its place.
+/// Parses settings; every error is added to `findings` with its place.
 NodeSettings ReadNodeSettings(const std::string& text, const std::string& file,
                               Findings* findings);
 
-/// Reads a file whole. False, with a finding, if it can't be read.
+/// Reads a whole file. Returns false, with a finding, if it can't be read.
 bool ReadFile(const std::string& file, std::string* text, Findings* findings);
 
 }  // namespace cassiausher
--- a/main/operator_calls.cc
+++ b/main/operator_calls.cc
@@ -39,35 +39,35 @@
 
 void OperatorCalls::Submit(HttpExchangePtr exchange, VersionedDocument document,
                            Time now) {
-  const std::uint64_t number = NextNumber();
+  const std::uint64_t id = NextId();
   const bool in_force = document.version <= log_->current().version;
-  calls_[number] = {.exchange = std::move(exchange),
-                    .started = now,
-                    .document = std::move(document)};
+  calls_[id] = {.exchange = std::move(exchange),
+                .started = now,
+                .document = std::move(document)};
   if (in_force) {
-    OnSubmitted(number);
+    OnSubmitted(id);
   } else {
-    Ask(number, now);
+    SendToLeader(id, now);
   }
 }
 
 void OperatorCalls::Read(HttpExchangePtr exchange, Time now) {
-  const std::uint64_t number = NextNumber();
-  calls_[number] = {.exchange = std::move(exchange), .started = now};
-  Ask(number, now);
+  const std::uint64_t id = NextId();
+  calls_[id] = {.exchange = std::move(exchange), .started = now};
+  SendToLeader(id, now);
 }
 
-void OperatorCalls::Ask(std::uint64_t number, Time now) {
-  Call& call = calls_.at(number);
+void OperatorCalls::SendToLeader(std::uint64_t id, Time now) {
+  Call& call = calls_.at(id);
   call.sent_at = now;
   const bool is_read = call.document.version == Revision(0);
   if (log_->leading()) {
     // The call may be finished, and erased, before these return.
     const VersionedDocument document = call.document;
     if (is_read) {
-      log_->ReadCurrent(self_, number, now);
+      log_->ReadCurrent(self_, id, now);
     } else {
-      log_->Submit(self_, number, document, now);
+      log_->Submit(self_, id, document, now);
     }
     return;
   }
@@ -75,10 +75,10 @@
   if (leader.empty()) return;
   proto::NodeMessage message;
   if (is_read) {
-    message.mutable_read_current()->set_read(number);
+    message.mutable_read_current()->set_read(id);
   } else {
     auto* submit = message.mutable_submit_document();
-    submit->set_submission(number);
+    submit->set_submission(id);
     *submit->mutable_document() = ToProto(call.document);
   }
   link_->Send(leader, std::move(message));
@@ -86,12 +86,12 @@
 
 void OperatorCalls::Retry(Time now) {
   std::vector<std::uint64_t> due;
-  for (const auto& [number, call] : calls_) {
+  for (const auto& [id, call] : calls_) {
     const bool late = now - call.started >= kCallTimeout;
-    if (late || now - call.sent_at >= kResendPeriod) due.push_back(number);
+    if (late || now - call.sent_at >= kResendPeriod) due.push_back(id);
   }
-  for (const std::uint64_t number : due) {
-    const auto found = calls_.find(number);
+  for (const std::uint64_t id : due) {
+    const auto found = calls_.find(id);
     if (found == calls_.end()) continue;
     const Call& call = found->second;
     if (call.exchange->finished()) {
@@ -104,13 +104,13 @@
                           "no leader answered");
       calls_.erase(found);
     } else {
-      Ask(number, now);
+      SendToLeader(id, now);
     }
   }
 }
 
 void OperatorCalls::Stop() {
-  for (auto& [number, call] : calls_) {
+  for (auto& [id, call] : calls_) {
     RespondControlError(*call.exchange, kUnavailable, "stopping",
                         "the instance stops");
   }
--- a/main/operator_calls.h
+++ b/main/operator_calls.h
@@ -1,5 +1,5 @@
-// Operators' calls at a control instance, each kept until the leader of the
-// replicated log has answered it.
+// Operators' HTTP calls at a control instance, each held until the leader of
+// the replicated log has answered it.
 #ifndef MAIN_OPERATOR_CALLS_H_
 #define MAIN_OPERATOR_CALLS_H_
 
@@ -20,11 +20,11 @@
 proto::VersionedDocument ToProto(const VersionedDocument& document);
 VersionedDocument FromProto(const proto::VersionedDocument& message);
 
-/// Answers an outside call that failed at this instance.
+/// Answers an HTTP call that failed at this instance.
 void RespondControlError(HttpExchange& exchange, int status,
                          std::string_view code, std::string message);
 
-/// Belongs to the control node's task; log and link must outlive it.
+/// Used on the control node's task only; `log` and `link` must outlive it.
 class OperatorCalls {
  public:
   OperatorCalls(InstanceId self, ConfigurationLog* log, NodeLink* link)
@@ -34,35 +34,35 @@
   void Submit(HttpExchangePtr exchange, VersionedDocument document, Time now);
   /// Answered with the configuration that is in force now.
   void Read(HttpExchangePtr exchange, Time now);
-  /// Asks the leader again, and answers 503 to what took too long.
+  /// Sends calls to the leader again, and answers 503 to those that timed out.
   void Retry(Time now);
-  /// Answers 503 to all.
+  /// Answers 503 to all calls.
   void Stop();
 
-  // The leader's answers; unknown numbers are ignored.
+  // The leader's answers; unknown ids are ignored.
   void OnSubmitted(std::uint64_t submission);
   void OnRead(std::uint64_t read, const VersionedDocument& document);
 
-  /// A number that no call has, for reads of the instance itself.
-  std::uint64_t NextNumber() { return next_number_++; }
+  /// An id that no call has, for reads by the instance itself.
+  std::uint64_t NextId() { return next_id_++; }
 
  private:
   struct Call {
     HttpExchangePtr exchange;
     Time started{};
     Time sent_at{};
-    /// Set for a change, version 0 for a read.
+    /// The submitted document; version 0 for a read.
     VersionedDocument document;
   };
 
   /// May finish the call.
-  void Ask(std::uint64_t number, Time now);
+  void SendToLeader(std::uint64_t id, Time now);
 
   InstanceId self_;
   ConfigurationLog* log_;
   NodeLink* link_;
   std::map<std::uint64_t, Call> calls_;
-  std::uint64_t next_number_ = 1;
+  std::uint64_t next_id_ = 1;
 };
 
 }  // namespace cassiausher
--- a/main/query_service.cc
+++ b/main/query_service.cc
@@ -18,7 +18,7 @@
 }
 
 // Rows that several instances hold alike.
-std::vector<Row> WithoutRepeats(std::vector<Row> rows) {
+std::vector<Row> WithoutDuplicates(std::vector<Row> rows) {
   std::set<std::string> seen;
   std::vector<Row> result;
   for (Row& row : rows) {
@@ -64,7 +64,7 @@
 void QueryService::Run(const Query& query, const std::string& text,
                        Revision revision, Reply reply, Time now) {
   const std::uint64_t id = next_id_++;
-  Open& open = open_[id];
+  OpenQuery& open = open_[id];
   open.query = query;
   open.revision = revision;
   open.reply = std::move(reply);
@@ -84,7 +84,7 @@
     }
   }
   local_rows_(query.table, [this, id](std::vector<Row> rows) {
-    Take(id, context_.settings.instance, std::move(rows));
+    AddRows(id, context_.settings.instance, std::move(rows));
   });
 }
 
@@ -95,7 +95,7 @@
     const auto found = open_.find(part.query());
     if (found == open_.end()) return true;
     const Table* table = FindTable(found->second.query.table);
-    Take(part.query(), sender, DecodeRows(*table, part.rows()));
+    AddRows(part.query(), sender, DecodeRows(*table, part.rows()));
     return true;
   }
   if (envelope.body_case() != proto::Envelope::kQueryRequest) return false;
@@ -118,17 +118,17 @@
   return true;
 }
 
-void QueryService::Take(std::uint64_t id, const InstanceId& from,
-                        std::vector<Row> rows) {
+void QueryService::AddRows(std::uint64_t id, const InstanceId& from,
+                           std::vector<Row> rows) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  Open& open = found->second;
+  OpenQuery& open = found->second;
   if (open.waiting.erase(from) == 0) return;
   std::move(rows.begin(), rows.end(), std::back_inserter(open.rows));
   if (open.waiting.empty()) Finish(id);
 }
 
-nlohmann::json QueryService::Unanswered(
+nlohmann::json QueryService::UnansweredNames(
     const std::set<InstanceId>& waiting) const {
   nlohmann::json names = nlohmann::json::array();
   for (const auto& [data_centre, instances] : instances_) {
@@ -147,16 +147,16 @@
 }
 
 void QueryService::Finish(std::uint64_t id) {
-  Open open = std::move(open_[id]);
+  OpenQuery open = std::move(open_[id]);
   open_.erase(id);
   nlohmann::json rows = nlohmann::json::array();
   for (const Row& row :
-       Evaluate(open.query, WithoutRepeats(std::move(open.rows)))) {
+       Evaluate(open.query, WithoutDuplicates(std::move(open.rows)))) {
     rows.push_back(row.ToJson());
   }
   const nlohmann::json answer = {{"revision", open.revision.value()},
                                  {"rows", rows},
-                                 {"unanswered", Unanswered(open.waiting)}};
+                                 {"unanswered", UnansweredNames(open.waiting)}};
   open.reply(200, answer.dump(-1, ' ', false,
                               nlohmann::json::error_handler_t::replace));
 }
--- a/main/query_service.h
+++ b/main/query_service.h
@@ -1,5 +1,5 @@
-// Queries over the whole deployment: asks every instance for its rows, merges
-// them and names those that did not answer.
+// Queries over the whole deployment: requests rows from every instance, merges
+// them and names the instances that did not answer.
 #ifndef MAIN_QUERY_SERVICE_H_
 #define MAIN_QUERY_SERVICE_H_
 
@@ -20,9 +20,11 @@
 class QueryService {
  public:
   using Reply = std::function<void(int status, std::string json)>;
-  /// Gives this instance's rows of a table, at once or later on this task.
-  using LocalRows = std::function<void(
-      const std::string& table, std::function<void(std::vector<Row>)> take)>;
+  /// Passes this instance's rows of a table to `callback`, at once or later on
+  /// this task.
+  using LocalRows =
+      std::function<void(const std::string& table,
+                         std::function<void(std::vector<Row>)> callback)>;
   /// Instances of the deployment by data centre, dead ones too.
   using Instances = std::map<DataCentreId, std::set<InstanceId>>;
 
@@ -37,7 +39,7 @@
   void Tick(Time now);
 
  private:
-  struct Open {
+  struct OpenQuery {
     Query query;
     Revision revision{0};
     Reply reply;
@@ -46,21 +48,21 @@
     Time deadline{};
   };
 
-  void Take(std::uint64_t id, const InstanceId& from, std::vector<Row> rows);
+  void AddRows(std::uint64_t id, const InstanceId& from, std::vector<Row> rows);
   void Finish(std::uint64_t id);
-  nlohmann::json Unanswered(const std::set<InstanceId>& waiting) const;
+  nlohmann::json UnansweredNames(const std::set<InstanceId>& waiting) const;
 
   ControlContext& context_;
   LocalRows local_rows_;
   Counter& malformed_;
   Instances instances_;
   std::uint64_t next_id_ = 1;
-  std::map<std::uint64_t, Open> open_;
+  std::map<std::uint64_t, OpenQuery> open_;
 };
 
-/// Rows as they travel between instances.
+/// Rows in JSON, the format between instances.
 std::string EncodeRows(const std::vector<Row>& rows);
-/// Leaves out what doesn't fit the table's columns.
+/// Skips values that don't match the table's columns.
 std::vector<Row> DecodeRows(const Table& table, const std::string& text);
 
 }  // namespace cassiausher
--- a/main/raft_host.cc
+++ b/main/raft_host.cc
@@ -8,7 +8,7 @@
 
 namespace cassiausher {
 
-std::uint64_t NewStorageNumber() {
+std::uint64_t RandomNonZero() {
   std::random_device entropy;
   const std::uint64_t high = entropy();
   return (high << 32 | entropy()) | 1;
--- a/main/raft_host.h
+++ b/main/raft_host.h
@@ -1,5 +1,5 @@
-// Runs the consensus core on a task: writes its batches through the storage
-// task, sends its messages and hands out what is committed.
+// Runs Raft on a task: writes its batches through the storage task, sends its
+// messages and delivers committed entries.
 #ifndef MAIN_RAFT_HOST_H_
 #define MAIN_RAFT_HOST_H_
 
@@ -25,18 +25,18 @@
  public:
   virtual ~RaftHostDelegate() = default;
   virtual void SendRaft(const proto::RaftMessage& message) = 0;
-  /// Replaces the whole state.
+  /// Replaces the whole state by the snapshot.
   virtual void OnInstall(const Snapshot& snapshot) = 0;
   virtual void OnCommitted(const LogEntry& entry) = 0;
   virtual void OnRead(const ReadResult& read) = 0;
   virtual void OnRoleChanged() = 0;
-  /// All of the above that was due has been called. Calls on raft() from here
-  /// are drained as well.
+  /// Called when no other callback is due. Output of calls on raft() made here
+  /// is dispatched as well.
   virtual void OnDispatched() {}
 };
 
-/// Random number for a new storage; not 0.
-std::uint64_t NewStorageNumber();
+/// Random number other than 0, for storage identifiers and seeds.
+std::uint64_t RandomNonZero();
 
 class RaftHost {
  public:
@@ -50,14 +50,14 @@
 
   void Step(const proto::RaftMessage& message);
   void Tick();
-  /// Hands out what calls on raft() have led to.
+  /// Dispatches the output of preceding calls on raft().
   void Drain();
 
   Raft& raft() { return *raft_; }
   const Raft& raft() const { return *raft_; }
 
  private:
-  /// Word from the storage task; batch 0 tells that the disk refused.
+  /// Result from the storage task; batch 0 reports a storage error.
   struct Persisted {
     std::uint64_t batch = 0;
   };
@@ -73,7 +73,7 @@
   std::unique_ptr<StorageTask> storage_;
   /// Messages that wait for their batch to be durable.
   std::map<std::uint64_t, std::vector<proto::RaftMessage>> after_sync_;
-  /// Drain() is running; what it calls leads to no second loop.
+  /// Drain() is running; nested calls return at once.
   bool draining_ = false;
 };
 
--- a/main/register_modules.h
+++ b/main/register_modules.h
@@ -1,4 +1,4 @@
-// The one place where plug-ins are registered.
+// Registers the plug-ins of cassiausherd.
 #ifndef MAIN_REGISTER_MODULES_H_
 #define MAIN_REGISTER_MODULES_H_
 
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -10,7 +10,7 @@
 
 // A read through the quorum this often shows that the leader still leads.
 constexpr Duration kQuorumReadPeriod = Milliseconds(600);
-constexpr Duration kLostHoldersPeriod = Seconds(2);
+constexpr Duration kClaimCheckPeriod = Seconds(2);
 // Four heartbeats fit into the shortest election timeout; at 100 ms the leader
 // alone sent 1.6 KB/s of heartbeats.
 constexpr Duration kHeartbeat = Milliseconds(250);
@@ -39,8 +39,8 @@
 std::string ReplicaHost::Start(std::unique_ptr<LogStorage> storage) {
   RaftOptions options;
   options.self = settings_.instance;
-  options.new_storage_id = NewStorageNumber();
-  options.seed = NewStorageNumber();
+  options.new_storage_id = RandomNonZero();
+  options.seed = RandomNonZero();
   options.heartbeat = kHeartbeat;
   for (const PeerSettings& peer : settings_.peers) {
     if (peer.voter) options.initial_voters.insert(peer.instance);
@@ -67,7 +67,7 @@
       Propose(LedgerEntry(LedgerExpiry{now - last_expiry_}), now);
       last_expiry_ = now;
     }
-    ProposeLostHolders(now);
+    ProposeClaimReleases(now);
     coordinator_.Tick(now);
   }
   host_.Tick();
@@ -143,7 +143,7 @@
       raft().role() == RaftRole::kLeader && entry.term == raft().term();
   if (!own_term || coordinator_.leading()) return;
   last_expiry_ = now;
-  last_holders_ = now;
+  last_claim_check_ = now;
   coordinator_.BecomeLeader(now);
   coordinator_.SetMembers(members_, now);
 }
@@ -159,7 +159,7 @@
       delegate_.OnSubmissionAnswered(answer->submission, answer->answer);
     } else {
       const auto& lost = std::get<LoseSubmission>(output);
-      delegate_.OnSubmissionLost(lost.submission, lost.reason);
+      delegate_.OnSubmissionAbandoned(lost.submission, lost.reason);
     }
   }
 }
@@ -173,7 +173,7 @@
                              std::map<InstanceId, Incarnation> started,
                              Time now) {
   members_ = std::move(members);
-  started_ = std::move(started);
+  start_incarnations_ = std::move(started);
   if (!coordinator_.leading()) return;
   coordinator_.SetMembers(members_, now);
   host_.Drain();
@@ -221,14 +221,14 @@
   host_.Drain();
 }
 
-void ReplicaHost::ProposeLostHolders(Time now) {
-  if (now - last_holders_ < kLostHoldersPeriod) return;
-  last_holders_ = now;
+void ReplicaHost::ProposeClaimReleases(Time now) {
+  if (now - last_claim_check_ < kClaimCheckPeriod) return;
+  last_claim_check_ = now;
   // Right after a start the members are not known yet.
-  if (started_.size() <= 1 && settings_.peers.size() > 1) return;
+  if (start_incarnations_.size() <= 1 && settings_.peers.size() > 1) return;
   for (const auto& [instance, incarnation] : state_.ledger().ClaimHolders()) {
-    const auto found = started_.find(instance);
-    if (found == started_.end()) {
+    const auto found = start_incarnations_.find(instance);
+    if (found == start_incarnations_.end()) {
       Propose(LedgerEntry(LedgerInstanceLost{instance, incarnation}), now);
     } else if (incarnation < found->second) {
       const Incarnation earlier(found->second.value() - 1);
--- a/main/replica_host.h
+++ b/main/replica_host.h
@@ -1,6 +1,5 @@
-// One voter's part of the replicated log, inside the control task: consensus,
-// the state it drives, and the coordinator of changes while this instance
-// leads.
+// One voter's replica of the log, on the control task: Raft, the state machine
+// it drives, and the change coordinator while this instance leads.
 #ifndef MAIN_REPLICA_HOST_H_
 #define MAIN_REPLICA_HOST_H_
 
@@ -23,7 +22,7 @@
 
 namespace cassiausher {
 
-/// What the host asks of the control task. Called on the control task.
+/// Callbacks of the host, called on the control task.
 class ReplicaDelegate {
  public:
   virtual ~ReplicaDelegate() = default;
@@ -32,10 +31,10 @@
                                  const ConfigurationMessage& message) = 0;
   virtual void OnSubmissionAnswered(std::uint64_t submission,
                                     const ChangeAnswer& answer) = 0;
-  virtual void OnSubmissionLost(std::uint64_t submission,
-                                const std::string& reason) = 0;
-  /// `committed` false: the command was lost or refused; nothing happened yet
-  /// under this proposal, and the same command may be sent again.
+  virtual void OnSubmissionAbandoned(std::uint64_t submission,
+                                     const std::string& reason) = 0;
+  /// `committed` is false if the proposal was refused or lost; nothing has
+  /// happened under it yet, and the same command may be sent again.
   virtual void OnLedgerCommand(std::uint64_t command, bool committed,
                                const LedgerAnswer& answer) = 0;
   virtual void OnStateApplied(const ReplicatedState& state) = 0;
@@ -69,7 +68,7 @@
   void ProposeLedger(std::uint64_t command, const LedgerEntry& entry, Time now);
   void OnInstanceLost(const InstanceId& instance, Incarnation incarnation,
                       Time now);
-  /// Hands leadership to another voter before a graceful exit.
+  /// Transfers leadership to another voter before a graceful exit.
   void TransferLeadership(Time now);
 
  private:
@@ -86,14 +85,15 @@
   void OnRoleChanged() override;
   void OnDispatched() override;
 
-  /// What the entry led to; nothing for one that holds no command.
+  /// Returns the ledger's answer; an empty one for an entry without a ledger
+  /// command.
   LedgerAnswer Apply(const LogEntry& entry, Time now);
   void DispatchCoordinator(Time now);
   void Propose(const StateEntry& entry, Time now);
-  /// Releases claims whose instance is gone. A death reported around a change
-  /// of leader is lost, so the claims themselves are compared with the
-  /// members.
-  void ProposeLostHolders(Time now);
+  /// Proposes to release claims whose holder is no longer a member. An instance
+  /// loss reported around a change of leader may be dropped, so claim holders
+  /// are compared with the members periodically.
+  void ProposeClaimReleases(Time now);
   void CompactIfDue();
 
   const Settings& settings_;
@@ -104,14 +104,14 @@
   ReplicatedState state_;
   ChangeCoordinator coordinator_;
   LiveMembers members_;
-  std::map<InstanceId, Incarnation> started_;
-  /// Ledger commands by the index of their entry.
+  std::map<InstanceId, Incarnation> start_incarnations_;
+  /// Ledger commands by log index.
   std::map<LogIndex, PendingCommand> commands_;
   std::map<std::uint64_t, Time> reads_;
   std::uint64_t next_read_ = 1;
   Time last_read_{};
   Time last_expiry_{};
-  Time last_holders_{};
+  Time last_claim_check_{};
   std::uint64_t entries_since_compaction_ = 0;
 };
 
--- a/main/stage_orders.cc
+++ b/main/stage_orders.cc
@@ -69,7 +69,7 @@
                        const EndpointRegistry& registry,
                        const EndpointLoads& loads, Time now) {
   planned_.reset();
-  FollowDelivery(now);
+  CheckDelivery(now);
   const bool settled = leading_since_ && now - *leading_since_ >= kSettleTime;
   const std::vector<EndpointId> silent = registry.Silent(now);
   for (const auto& [id, service] : configuration.services) {
@@ -116,7 +116,7 @@
       delivery_.get());
 }
 
-void StageOrders::FollowDelivery(Time now) {
+void StageOrders::CheckDelivery(Time now) {
   if (delivery_ == nullptr) return;
   const Duration passed = now - delivery_started_;
   const bool sent =
@@ -135,8 +135,8 @@
   planned.balancer->OnOrderUndelivered(planned.order);
 }
 
-std::vector<EndpointId> StageOrders::Changing(const EndpointRegistry& registry,
-                                              Time now) const {
+std::vector<EndpointId> StageOrders::ChangingEndpoints(
+    const EndpointRegistry& registry, Time now) const {
   std::vector<EndpointId> changing;
   for (const auto& [id, change] : changes_) {
     const EndpointRecord* record = registry.Find(id);
--- a/main/stage_orders.h
+++ b/main/stage_orders.h
@@ -1,5 +1,5 @@
-// Sends the orders by which model runners change stage, from the control
-// instance that leads.
+// Sends the orders that make runners change stage, from the control instance
+// that leads.
 #ifndef MAIN_STAGE_ORDERS_H_
 #define MAIN_STAGE_ORDERS_H_
 
@@ -20,30 +20,30 @@
 
 namespace cassiausher {
 
-/// Belongs to the control node's task. An order is planned, then sent once a
+/// Used on the control node's task only. An order is planned, then sent once a
 /// quorum has confirmed that this instance still leads.
 class StageOrders {
  public:
   StageOrders(std::string holder, Metrics& metrics);
   ~StageOrders();
 
-  /// The instance leads since `now`. Orders wait until those of the leader
-  /// before have lapsed.
+  /// This instance leads; the first call starts the wait until the orders of
+  /// the previous leader have expired.
   void OnLeading(Time now);
   void OnFollowing();
 
   /// Observes the loads of all entry instances; while leading, plans at most
-  /// one order. True if one waits to be confirmed and sent. Called on every
-  /// control instance, so that a new leader knows the loads.
+  /// one order. Returns true if one waits to be confirmed and sent. Called on
+  /// every control instance, so that a new leader knows the loads.
   bool Plan(const ServingConfiguration& configuration,
             const EndpointRegistry& registry, const EndpointLoads& loads,
             Time now);
   /// Sends the planned order under the leader's term.
   void Send(std::uint64_t term, Time now);
 
-  /// Runners that change stage now and take no work.
-  std::vector<EndpointId> Changing(const EndpointRegistry& registry,
-                                   Time now) const;
+  /// Runners that are changing stage and take no work.
+  std::vector<EndpointId> ChangingEndpoints(const EndpointRegistry& registry,
+                                            Time now) const;
 
  private:
   struct Planned {
@@ -54,8 +54,9 @@
   };
   class Delivery;
 
-  /// Ends an order that doesn't reach its runner or gets no answer.
-  void FollowDelivery(Time now);
+  /// Ends the delivery of an order that was answered, or that timed out while
+  /// being sent or answered.
+  void CheckDelivery(Time now);
 
   std::string holder_;
   Counter& sent_;
@@ -63,7 +64,7 @@
   std::optional<Time> leading_since_;
   std::map<ServiceId, StageBalancer> balancers_;
   std::optional<Planned> planned_;
-  /// The order under way; null for none.
+  /// The order being delivered; null for none.
   std::unique_ptr<Delivery> delivery_;
   HttpClient::CallId delivery_call_ = 0;
   Time delivery_started_{};
@@ -71,7 +72,8 @@
     EndpointRole to = EndpointRole::kDecode;
     Time since{};
   };
-  /// Orders by runner, until its heartbeat shows the role.
+  /// Latest ordered change by runner; in progress until the runner's heartbeat
+  /// shows the role.
   std::map<EndpointId, Change> changes_;
 };
 
--- a/main/storage_task.h
+++ b/main/storage_task.h
@@ -1,5 +1,5 @@
-// The storage task: writes and syncs the replicated log, so that a slow disk
-// holds up nothing else.
+// The storage task: writes and syncs the replicated log on a thread of its own,
+// so that a slow disk doesn't block other tasks.
 #ifndef MAIN_STORAGE_TASK_H_
 #define MAIN_STORAGE_TASK_H_
 
@@ -17,9 +17,9 @@
 
 /// Called on the storage task's thread.
 struct StorageEvents {
-  /// Everything up to this batch is durable.
+  /// All batches up to and including this one are durable.
   std::function<void(std::uint64_t batch)> persisted;
-  /// The disk refused; the batch is tried again.
+  /// A write or sync failed. Failed syncs are retried.
   std::function<void()> failed;
 };
 
@@ -29,7 +29,7 @@
               StorageEvents events);
   ~StorageTask() override;
 
-  /// Batches are persisted in the order of the calls.
+  /// Batches are persisted in call order. Thread-safe.
   void Persist(RaftOutput output);
 
  private:
@@ -42,12 +42,12 @@
   Counter& syncs_;
   Counter& failures_;
   Distribution& sync_time_;
-  /// Written batches that are not yet durable.
+  /// Last written batch, durable after the next sync.
   std::uint64_t unsynced_batch_ = 0;
   bool failing_ = false;
-  /// Written batches wait for a sync, due now or after a failure.
+  /// Written batches wait for a sync, either queued or retried after a failure.
   bool sync_pending_ = false;
-  /// Memory and disk disagree; nothing is reported as durable any more.
+  /// Memory and disk diverged; no later batch is reported as durable.
   bool broken_ = false;
   GSourcePtr retry_;
   Mailbox<RaftOutput> mailbox_;
--- a/main/wire.h
+++ b/main/wire.h
@@ -9,7 +9,8 @@
 
 namespace cassiausher {
 
-/// Arrival times travel as ages, since clocks of two instances don't compare.
+/// Arrival times are sent as ages, since the clocks of two instances aren't
+/// comparable.
 proto::RouteRequest ToProto(const RouteRequest& request, Time now);
 RouteRequest FromProto(const proto::RouteRequest& message, Time now);
 
