--- a/main/configuration_log.cc
+++ b/main/configuration_log.cc
@@ -156,7 +156,7 @@
   if (found != proposals_.end()) {
     const Proposal proposal = std::move(found->second);
     proposals_.erase(found);
-    // Another term's entry took the place of the proposal; its origin sends it
+    // An entry of another term replaced the proposal; its origin sends it
     // again.
     if (proposal.term != entry.term) return;
     for (const Waiter& waiter : proposal.waiters) {
@@ -250,7 +250,7 @@
   const bool own_group = raft.configuration().group == configuration->group;
   if (!own_group || members.commit() < raft.commit_index()) return;
   if (configuration->IsMember(raft.replica())) return;
-  // A voter that is being removed is told by the log before this.
+  // A voter that is being removed learns of it from the log before this.
   reset_due_ = true;
 }
 
--- a/main/configuration_service.cc
+++ b/main/configuration_service.cc
@@ -67,7 +67,7 @@
   listener_(active_);
 }
 
-// ---- Way to the leader ---------------------------------------------------
+// ---- Routing to the leader -----------------------------------------------
 
 InstanceId ConfigurationService::NextHopToLeader() const {
   if (replica_ != nullptr && !replica_->leader().empty()) {
@@ -136,7 +136,7 @@
 
 void ConfigurationService::SubmitLocally(const Origin& origin,
                                          const Change& change, Time now) {
-  // A repeated request of an open submission is answered with it.
+  // A retry of an open submission gets the answer of the first one.
   if (!submitted_.insert(origin).second) return;
   const std::uint64_t submission = next_submission_++;
   submissions_[submission] = origin;
@@ -155,7 +155,7 @@
 
 void ConfigurationService::OnSubmissionAbandoned(std::uint64_t submission,
                                                  const std::string&) {
-  // The origin sends its change again, under the same change id.
+  // The origin retries its change under the same change id.
   const auto found = submissions_.find(submission);
   if (found == submissions_.end()) return;
   submitted_.erase(found->second);
@@ -249,7 +249,7 @@
 
 void ConfigurationService::OnLedgerReply(const proto::LedgerReply& reply,
                                          Time) {
-  // Without a commit the command is sent again when its retry is due.
+  // A command that wasn't committed is sent again when its retry is due.
   if (!reply.committed()) return;
   const auto found = commands_.find(reply.id());
   if (found == commands_.end()) return;
@@ -323,7 +323,7 @@
   }
   const auto* follow = std::get_if<Follow>(message);
   if (follow != nullptr && replica_ != nullptr) {
-    // Without a leader the follower still learns what is committed here.
+    // Without a leader, the follower still gets what is committed here.
     const bool leaderless = replica_->leader().empty();
     if (leaderless) {
       SendConfiguration(follow->instance,
@@ -363,7 +363,7 @@
   envelope.set_configuration(EncodeMessage(message));
   if (to == context_.settings.instance) {
     // The leader follows itself; the message goes through the mailbox so that
-    // it doesn't run inside the sender.
+    // it isn't handled inside the sender's call.
     context_.post(LoopbackEnvelope{std::move(envelope)});
     return;
   }
@@ -485,7 +485,7 @@
 
 nlohmann::json ConfigurationService::Dump(Time now) const {
   nlohmann::json configuration = ToJson(*active_);
-  // Viewers read the dump; a weak token could be guessed from its hash.
+  // Viewers can read the dump; a weak token could be guessed from its hash.
   for (auto& account : configuration["accounts"]) account.erase("token_hash");
   nlohmann::json dump = {{"revision", active_->revision.value()},
                          {"lease_valid", follower_.LeaseValid(now)},
--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -14,17 +14,18 @@
 namespace {
 
 constexpr Duration kTickPeriod = Milliseconds(100);
-// Placements are passed on together; a runner's memory hardly changes
-// meanwhile.
+// Placements are forwarded in batches; a runner's memory hardly changes within
+// this period.
 constexpr Duration kPlacementPeriod = Milliseconds(25);
 constexpr Duration kSyncPeriod = Milliseconds(600);
-// An entry instance that hasn't followed for this long gets no updates.
+// An entry instance that hasn't sent Follow for this long gets no updates.
 constexpr Duration kFollowerLifetime = Seconds(6);
-// A control instance is told to others only while it is heard from itself, so
-// that one that is gone isn't passed around for ever.
-constexpr Duration kAdvertisedLifetime = Seconds(10);
+// A control instance is advertised to others only while its own messages
+// arrive, so that one that has gone isn't advertised forever.
+constexpr Duration kAdvertisedTtl = Seconds(10);
 constexpr Duration kControlLifetime = Seconds(30);
-// Heartbeats heard since the last sync, with a margin for late ticks.
+// A sync repeats heartbeats from before the last sync by this margin, since
+// ticks may be late.
 constexpr Duration kSyncOverlap = Milliseconds(300);
 
 constexpr const char* kJson = "application/json";
@@ -89,7 +90,7 @@
   server_->StopListening();
 }
 
-// --- Calls from outside ----------------------------------------------------
+// --- HTTP calls ------------------------------------------------------------
 
 void ControlNode::OnCall(HttpExchangePtr exchange) {
   const ControlCall call =
@@ -196,7 +197,7 @@
     UpdateFollowers();
     return;
   }
-  // An unserved read is sent again, to the next leader.
+  // A read that wasn't served is sent again, to the next leader.
   if (!served) return;
   if (origin.value() == settings_.ip) {
     return operator_calls_.OnRead(read, log_.current());
@@ -226,7 +227,7 @@
       break;
     case proto::NodeMessage::kSync: {
       std::uint64_t& known = control_incarnations_[from];
-      // A control process that started anew knows nothing of before.
+      // A control process that started anew has lost its earlier state.
       if (known != message.incarnation()) synced_with_.erase(from);
       known = message.incarnation();
       OnSync(from, message.sync());
@@ -275,11 +276,12 @@
 void ControlNode::OnPlacements(const InstanceId& from,
                                const proto::Placements& placements) {
   const auto sender = followers_.find(from);
-  // Its next Follow tells everything.
+  // Its next Follow carries its whole load.
   if (sender == followers_.end()) return;
   const EndpointLoads placed = ReadLoads(placements.added());
   EndpointLoads lasting = placed;
-  // Prompts are read before their sender's next Follow.
+  // Prefill load isn't kept: prompts are processed before the sender's next
+  // Follow.
   std::erase_if(lasting, [this](const auto& item) {
     const EndpointRecord* record = registry_.Find(item.first);
     return record != nullptr && record->role == EndpointRole::kPrefill;
@@ -332,8 +334,8 @@
   for (const InstanceId& control : LiveControls()) {
     update->add_control_instances(control.value());
   }
-  // The receiver knows its own work better, and takes others' from one control
-  // instance only.
+  // The receiver knows its own load better, and takes the load of others from
+  // one control instance only.
   if (follower.wants_placements) {
     WriteLoads(LoadsExcept(to), update->mutable_loads());
   }
@@ -357,8 +359,7 @@
   std::vector<InstanceId> heard;
   for (const auto& [instance, control] : controls_) {
     if (!control.heard_at.has_value()) continue;
-    if (now - *control.heard_at < kAdvertisedLifetime)
-      heard.push_back(instance);
+    if (now - *control.heard_at < kAdvertisedTtl) heard.push_back(instance);
   }
   return heard;
 }
--- a/main/control_task.cc
+++ b/main/control_task.cc
@@ -20,11 +20,12 @@
 constexpr char kRevisionKey[] = "revision";
 
 constexpr Duration kTickPeriod = Milliseconds(10);
-// Members are told to the services again at least this often.
+// Members are passed to the services again at least this often.
 constexpr Duration kPublishPeriod = Seconds(1);
 // Below the first-token targets that operators set, above an election.
 constexpr Duration kClaimTimeout = Seconds(4);
-// A key stays claimed until its outcome is recorded.
+// Outcomes are retried for a day: a key stays claimed until its outcome is
+// recorded.
 constexpr Duration kOutcomeTimeout = Seconds(24 * 3600);
 
 std::string_view NameOf(MemberState state) {
@@ -166,7 +167,8 @@
 }
 
 void ControlTask::UpdatePayload(Time now) {
-  // The first configuration comes from the constructor's services.
+  // The services in the constructor may report the first configuration before
+  // membership has started.
   if (membership_ == nullptr) return;
   MemberPayload payload;
   payload[kRevisionKey] =
@@ -207,8 +209,8 @@
           lost ? "data_centre_unreachable" : "data_centre_reachable",
           {{"data_centre", event.data_centre.value()}});
       if (!lost) return;
-      // Callers of a data centre that is cut off have no way to its answers
-      // here; the engines are freed for callers that have.
+      // Callers of an unreachable data centre can't get their answers from
+      // here; their engines are freed for callers that can.
       for (const MemberRow& row : membership_->Members()) {
         if (row.data_centre == event.data_centre) {
           pools_.OnEntryLost(row.id, now);
@@ -227,7 +229,7 @@
   pools_.OnEntryLost(event.member, now);
   for (const MemberRow& row : membership_->Members()) {
     if (row.id != event.member) continue;
-    // After a restart every run before the present one is lost.
+    // After a restart every run before the current one is lost.
     const bool restarted = event.kind == MembershipEventKind::kRestarted;
     const std::uint64_t lost =
         restarted ? row.started.value() - 1 : row.incarnation.value();
@@ -251,8 +253,8 @@
       instances[row.data_centre].insert(row.id);
     }
     if (!IsLive(row)) continue;
-    // A data centre that can't be reached still counts for changes: they wait
-    // for it or are refused.
+    // An unreachable data centre still counts for changes: they wait for it
+    // or are refused.
     members[row.data_centre].insert(row.id);
     started[row.id] = row.started;
     const bool is_here = row.data_centre == settings_.data_centre;
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr guint kShutdownPollMs = 20;
-// Time for the last messages: progress of requests, the member's departure.
+// Time to send the last messages: request progress and the membership leave.
 constexpr guint kLeaveMs = 300;
 constexpr const char* kDefaultPolicy = "reserving";
 
@@ -29,7 +29,7 @@
 }
 
 Daemon::~Daemon() {
-  // The listeners go first, then what they post to.
+  // Listeners are destroyed before the tasks that they post to.
   admin_.reset();
   if (control_) control_->Stop();
   for (auto& task : serving_) task->Stop();
--- a/main/main.cc
+++ b/main/main.cc
@@ -36,26 +36,27 @@
 
 constexpr int kExitBadSettings = 2;
 
-// An open stream holds a descriptor towards its caller and one towards its
-// engine; the rest is for listeners, peers and short calls.
+// An open stream uses one descriptor for its caller and one for its engine; the
+// others are for listeners, peers and short calls.
 constexpr std::int64_t kDescriptorsPerRequest = 2;
 constexpr std::int64_t kOtherDescriptors = 300;
 
-// Raises the limit as far as allowed, and takes no more requests than it
-// carries: without descriptors the admin listener couldn't answer either.
+// Raises the descriptor limit to the hard limit, and lowers the number of open
+// requests to what it allows: without descriptors the admin listener couldn't
+// answer either.
 void FitToDescriptorLimit(cassiausher::Settings::Limits* limits) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_cur == RLIM_INFINITY) return;
-  const std::int64_t carried =
+  const std::int64_t max_requests =
       (static_cast<std::int64_t>(limit.rlim_cur) - kOtherDescriptors) /
       kDescriptorsPerRequest;
-  if (carried >= limits->open_requests) return;
+  if (max_requests >= limits->open_requests) return;
   cassiausher::Log(cassiausher::LogLevel::kWarning, "open_requests_reduced",
-                   {{"from", limits->open_requests}, {"to", carried}});
-  limits->open_requests = std::max<std::int64_t>(carried, 1);
+                   {{"from", limits->open_requests}, {"to", max_requests}});
+  limits->open_requests = std::max<std::int64_t>(max_requests, 1);
 }
 
 }  // namespace
--- a/main/node_link.cc
+++ b/main/node_link.cc
@@ -7,8 +7,8 @@
 namespace cassiausher {
 namespace {
 
-// Two heartbeats fit into the time after which the platform expects instances
-// to be in contact again.
+// Two heartbeats fit into the time within which the platform expects instances
+// to reconnect.
 constexpr int kHeartbeatMs = 1000;
 constexpr int kHeartbeatTimeoutMs = 1500;
 
--- a/main/node_main.cc
+++ b/main/node_main.cc
@@ -1,4 +1,4 @@
-// Entry point of cassiausher_node: one role of a deployment, as one process.
+// Entry point of cassiausher_node, which runs one role of a deployment.
 #include <docopt/docopt.h>
 #include <glib-unix.h>
 
@@ -46,7 +46,7 @@
 constexpr int kExitBadSettings = 2;
 constexpr std::uint16_t kMetricsPort = 9464;
 constexpr guint kReloadPeriodMs = 5000;
-// Time for the last messages after SIGTERM at a control instance.
+// Time to send the last messages of a control instance after SIGTERM.
 constexpr guint kControlLeaveMs = 400;
 
 enum class Role { kEntry, kControl };
@@ -86,7 +86,7 @@
   int Run() {
     NodeSettings settings;
     Findings findings;
-    if (!Load(&settings, &findings)) return Refuse(findings);
+    if (!Load(&settings, &findings)) return PrintFindings(findings);
     ConfigureLog(LogLevel::kInfo, settings.instance);
     Log(LogLevel::kInfo, "started",
         {{"role", role_ == Role::kEntry ? "entry" : "control"},
@@ -105,7 +105,7 @@
     return EXIT_SUCCESS;
   }
 
-  static int Refuse(const Findings& findings) {
+  static int PrintFindings(const Findings& findings) {
     for (const Finding& finding : findings.items()) {
       std::fprintf(stderr, "%s: %s\n", finding.place.c_str(),
                    finding.message.c_str());
@@ -147,7 +147,7 @@
     g_unix_signal_add(SIGTERM, OnTerminate, this);
     g_unix_signal_add(SIGINT, OnTerminate, this);
     g_unix_signal_add(SIGHUP, OnReload, this);
-    // The settings may also change without a signal.
+    // The settings file may also change without a signal.
     g_timeout_add(kReloadPeriodMs, OnReloadTimer, this);
   }
 
@@ -179,7 +179,7 @@
     return G_SOURCE_CONTINUE;
   }
 
-  void Reload(bool asked) {
+  void Reload(bool by_signal) {
     NodeSettings settings;
     Findings findings;
     if (!Load(&settings, &findings)) {
@@ -187,7 +187,7 @@
           {{"findings", ToString(findings)}});
       return;
     }
-    if (asked) Log(LogLevel::kInfo, "reloaded", {});
+    if (by_signal) Log(LogLevel::kInfo, "reloaded", {});
     if (entry_) entry_->Reload(settings);
     if (control_) control_->Reload(settings);
   }
@@ -203,9 +203,9 @@
 };
 
 int Main(int argc, char** argv) {
-  const std::vector<std::string> words(argv + 1, argv + argc);
+  const std::vector<std::string> args(argv + 1, argv + argc);
   const std::map<std::string, docopt::value> arguments = docopt::docopt(
-      kUsage, words, true, "cassiausher_node " CASSIAUSHER_VERSION);
+      kUsage, args, true, "cassiausher_node " CASSIAUSHER_VERSION);
   std::string file;
   if (arguments.at("--settings")) {
     file = arguments.at("--settings").asString();
@@ -219,10 +219,10 @@
     NodeSettings settings;
     Findings findings;
     return node.Load(&settings, &findings) ? EXIT_SUCCESS
-                                           : Node::Refuse(findings);
+                                           : Node::PrintFindings(findings);
   }
   SetLogFormat(LogFormat::kJson);
-  // Connections that end while they are written to are reported by errors.
+  // Writing to a closed connection returns an error instead.
   std::signal(SIGPIPE, SIG_IGN);
   return node.Run();
 }
--- a/main/operator_calls.cc
+++ b/main/operator_calls.cc
@@ -9,7 +9,7 @@
 namespace cassiausher {
 namespace {
 
-// Callers try another instance after a second.
+// Below the one second after which callers try another instance.
 constexpr Duration kCallTimeout = Milliseconds(900);
 constexpr Duration kResendPeriod = Milliseconds(300);
 constexpr int kUnavailable = 503;
@@ -62,7 +62,7 @@
   call.sent_at = now;
   const bool is_read = call.document.version == Revision(0);
   if (log_->leading()) {
-    // The call may be finished, and erased, before these return.
+    // These may finish and erase the call before they return.
     const VersionedDocument document = call.document;
     if (is_read) {
       log_->ReadCurrent(self_, id, now);
--- a/main/query_service.cc
+++ b/main/query_service.cc
@@ -11,13 +11,14 @@
 
 constexpr Duration kAnswerTimeout = Milliseconds(1000);
 
-// What every instance knows by itself is not asked of the others.
+// Tables whose rows differ by instance; any instance can answer the others
+// alone.
 bool IsDistributed(const std::string& table) {
   return table == "requests" || table == "endpoints" || table == "instances" ||
          table == "owners" || table == "changes";
 }
 
-// Rows that several instances hold alike.
+// Removes duplicate rows, which several instances hold.
 std::vector<Row> WithoutDuplicates(std::vector<Row> rows) {
   std::set<std::string> seen;
   std::vector<Row> result;
@@ -108,7 +109,7 @@
   const std::uint64_t id = envelope.query_request().query();
   local_rows_(query->table,
               [this, id, sender, query = *query](std::vector<Row> rows) {
-                // Filter and limit here, so that large tables travel small.
+                // Filter and limit here to keep the answer small.
                 proto::Envelope answer;
                 answer.mutable_query_part()->set_query(id);
                 answer.mutable_query_part()->set_rows(
--- a/main/raft_host.cc
+++ b/main/raft_host.cc
@@ -82,7 +82,7 @@
   if (draining_) return;
   draining_ = true;
   for (;;) {
-    // May propose or read, which leads to more output.
+    // The delegate may propose or read, which produces more output.
     delegate_.OnDispatched();
     RaftOutput output = raft_->TakeOutput();
     if (output.empty()) break;
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -8,7 +8,7 @@
 namespace cassiausher {
 namespace {
 
-// A read through the quorum this often shows that the leader still leads.
+// A quorum read this often confirms leadership.
 constexpr Duration kQuorumReadPeriod = Milliseconds(600);
 constexpr Duration kClaimCheckPeriod = Seconds(2);
 // Four heartbeats fit into the shortest election timeout; at 100 ms the leader
@@ -19,8 +19,8 @@
 // a change doesn't abort it.
 constexpr Duration kConfigurationLease = Milliseconds(1900);
 constexpr Duration kLedgerExpiryPeriod = Seconds(60);
-// A snapshot after this many entries bounds the log on disk and the time of a
-// restart.
+// A snapshot after this many entries bounds the log on disk and the restart
+// time.
 constexpr std::uint64_t kEntriesPerSnapshot = 4000;
 
 }  // namespace
@@ -105,8 +105,8 @@
   if (raft.role() == RaftRole::kLeader) return;
   if (coordinator_.leading()) coordinator_.LoseLeadership();
   reads_.clear();
-  // Their entries may still be committed; the askers repeat their commands,
-  // which the state recognises.
+  // These entries may still be committed. The origins retry their commands, and
+  // the state machine recognises duplicates.
   for (const auto& [index, command] : std::exchange(commands_, {})) {
     delegate_.OnLedgerCommand(command.command, false, {});
   }
@@ -165,7 +165,7 @@
 }
 
 void ReplicaHost::Propose(const StateEntry& entry, Time now) {
-  // A refused proposal is repeated by its owner.
+  // Whoever proposed the entry retries a refused proposal.
   host_.raft().Propose(EncodeStateEntry(entry), now);
 }
 
@@ -224,7 +224,7 @@
 void ReplicaHost::ProposeClaimReleases(Time now) {
   if (now - last_claim_check_ < kClaimCheckPeriod) return;
   last_claim_check_ = now;
-  // Right after a start the members are not known yet.
+  // Right after startup the members aren't known yet.
   if (start_incarnations_.size() <= 1 && settings_.peers.size() > 1) return;
   for (const auto& [instance, incarnation] : state_.ledger().ClaimHolders()) {
     const auto found = start_incarnations_.find(instance);
--- a/main/stage_orders.cc
+++ b/main/stage_orders.cc
@@ -9,20 +9,21 @@
 namespace cassiausher {
 namespace {
 
-// Longer than the lease for which the orders of a leader before may count.
-constexpr Duration kSettleTime = Seconds(5);
-// A confirmation that took longer says nothing of now.
-constexpr Duration kConfirmTime = Milliseconds(500);
-// A runner that takes no connection for so long is cut off; one that gives no
-// answer may carry the order out later.
-constexpr Duration kConnectTime = Milliseconds(500);
-constexpr Duration kAnswerTime = Seconds(5);
-// A runner ends its streams first; one that takes longer refused the order.
-constexpr Duration kChangeTime = Seconds(20);
+// Longer than the lease during which a previous leader's orders may be valid.
+constexpr Duration kLeaderSettleTime = Seconds(5);
+// A confirmation that took longer doesn't show that this instance still leads.
+constexpr Duration kConfirmTimeout = Milliseconds(500);
+// Delivery to a runner that accepts no connection within this time is
+// cancelled; one that gives no answer may still carry out the order later.
+constexpr Duration kConnectTimeout = Milliseconds(500);
+constexpr Duration kAnswerTimeout = Seconds(5);
+// A runner finishes its streams first; one that takes longer counts as having
+// refused the order.
+constexpr Duration kStageChangeTimeout = Seconds(20);
 
 }  // namespace
 
-// Logs the answer to one order and keeps what became of it.
+// Logs the answer to one order and keeps its result.
 class StageOrders::Delivery : public HttpCallSink {
  public:
   explicit Delivery(Planned planned) : planned_(std::move(planned)) {}
@@ -70,7 +71,8 @@
                        const EndpointLoads& loads, Time now) {
   planned_.reset();
   CheckDelivery(now);
-  const bool settled = leading_since_ && now - *leading_since_ >= kSettleTime;
+  const bool settled =
+      leading_since_ && now - *leading_since_ >= kLeaderSettleTime;
   const std::vector<EndpointId> silent = registry.Silent(now);
   for (const auto& [id, service] : configuration.services) {
     if (!service.engine.has_value()) continue;
@@ -100,7 +102,7 @@
 void StageOrders::Send(std::uint64_t term, Time now) {
   if (!planned_.has_value() || !leading_since_.has_value()) return;
   const Planned planned = *std::exchange(planned_, std::nullopt);
-  if (now - planned.planned_at >= kConfirmTime) return;
+  if (now - planned.planned_at >= kConfirmTimeout) return;
   planned.balancer->OnOrderSent(planned.order, now);
   changes_[planned.order.endpoint] = {planned.order.role, now};
   sent_.Add();
@@ -122,7 +124,7 @@
   const bool sent =
       delivery_->done() ? delivery_->sent() : client_.WasSent(delivery_call_);
   const bool over =
-      delivery_->done() || passed >= (sent ? kAnswerTime : kConnectTime);
+      delivery_->done() || passed >= (sent ? kAnswerTimeout : kConnectTimeout);
   if (!over) return;
   client_.Cancel(delivery_call_);
   const Planned planned = delivery_->planned();
@@ -141,7 +143,7 @@
   for (const auto& [id, change] : changes_) {
     const EndpointRecord* record = registry.Find(id);
     const bool changed = record == nullptr || record->role == change.to;
-    if (changed || now - change.since >= kChangeTime) continue;
+    if (changed || now - change.since >= kStageChangeTimeout) continue;
     changing.push_back(id);
   }
   return changing;
--- a/main/storage_task.cc
+++ b/main/storage_task.cc
@@ -9,7 +9,7 @@
 namespace cassiausher {
 namespace {
 
-// A full disk is tried again this often.
+// Interval between sync attempts after a failure, such as a full disk.
 constexpr Duration kRetryPeriod = Milliseconds(200);
 
 // Runs a storage operation and returns its error text, empty on success.
@@ -48,14 +48,14 @@
   const std::string error =
       Try([&] { return cassiausher::Persist(output, *storage_); });
   if (!error.empty()) {
-    // The batch doesn't fit the log: memory and disk disagree. Reporting a
-    // later batch as durable would acknowledge this one too.
+    // The batch couldn't be appended to the log: memory and disk diverged.
+    // Reporting a later batch as durable would acknowledge this one too.
     broken_ = true;
     ReportFailure(error);
     return;
   }
   unsynced_batch_ = output.batch;
-  // A newer commit index alone may be lost in a crash.
+  // A batch with only a newer commit index may be lost in a crash.
   if (!output.must_sync && !sync_pending_) {
     events_.persisted(unsynced_batch_);
     return;
