--- a/main/control_task.cc
+++ b/main/control_task.cc
@@ -20,12 +20,13 @@
 constexpr char kRevisionKey[] = "revision";
 
 constexpr Duration kTickPeriod = Milliseconds(10);
-// Members are told to the services again at least this often.
-constexpr Duration kSpreadPeriod = Seconds(1);
+// Members are passed to the services again at least this often.
+constexpr Duration kPublishPeriod = Seconds(1);
 // Below the first-token targets that operators set, above an election.
-constexpr Duration kClaimPatience = Seconds(4);
-// A key stays claimed until its outcome is recorded.
-constexpr Duration kOutcomePatience = Seconds(24 * 3600);
+constexpr Duration kClaimTimeout = Seconds(4);
+// Outcomes are retried for a day: a key stays claimed until its outcome is
+// recorded.
+constexpr Duration kOutcomeTimeout = Seconds(24 * 3600);
 
 std::string_view NameOf(MemberState state) {
   switch (state) {
@@ -111,8 +112,8 @@
           }),
       queries_(context_,
                [this](const std::string& table,
-                      std::function<void(std::vector<Row>)> take) {
-                 GiveRows(table, std::move(take));
+                      std::function<void(std::vector<Row>)> callback) {
+                 CollectRows(table, std::move(callback));
                }),
       mailbox_(context(),
                [this](ControlMessage& message) { Handle(message); }) {}
@@ -166,7 +167,8 @@
 }
 
 void ControlTask::UpdatePayload(Time now) {
-  // The first configuration comes from the constructor's services.
+  // The services in the constructor may report the first configuration before
+  // membership has started.
   if (membership_ == nullptr) return;
   MemberPayload payload;
   payload[kRevisionKey] =
@@ -207,8 +209,8 @@
           lost ? "data_centre_unreachable" : "data_centre_reachable",
           {{"data_centre", event.data_centre.value()}});
       if (!lost) return;
-      // Callers of a data centre that is cut off have no way to its answers
-      // here; the engines are freed for callers that have.
+      // Callers of an unreachable data centre can't get their answers from
+      // here; their engines are freed for callers that can.
       for (const MemberRow& row : membership_->Members()) {
         if (row.data_centre == event.data_centre) {
           pools_.OnEntryLost(row.id, now);
@@ -227,7 +229,7 @@
   pools_.OnEntryLost(event.member, now);
   for (const MemberRow& row : membership_->Members()) {
     if (row.id != event.member) continue;
-    // After a restart every run before the present one is lost.
+    // After a restart every run before the current one is lost.
     const bool restarted = event.kind == MembershipEventKind::kRestarted;
     const std::uint64_t lost =
         restarted ? row.started.value() - 1 : row.incarnation.value();
@@ -235,10 +237,10 @@
   }
 }
 
-void ControlTask::SpreadMembers(Time now) {
-  if (!members_changed_ && now - last_spread_ < kSpreadPeriod) return;
+void ControlTask::PublishMembers(Time now) {
+  if (!members_changed_ && now - last_publish_ < kPublishPeriod) return;
   members_changed_ = false;
-  last_spread_ = now;
+  last_publish_ = now;
   std::set<InstanceId> reachable;
   std::map<InstanceId, Incarnation> started;
   LiveMembers members;
@@ -251,8 +253,8 @@
       instances[row.data_centre].insert(row.id);
     }
     if (!IsLive(row)) continue;
-    // A data centre that can't be reached still counts for changes: they wait
-    // for it or are refused.
+    // An unreachable data centre still counts for changes: they wait for it
+    // or are refused.
     members[row.data_centre].insert(row.id);
     started[row.id] = row.started;
     const bool is_here = row.data_centre == settings_.data_centre;
@@ -386,7 +388,7 @@
   const RequestId request = message.claim.request;
   const int task = ServingTaskOf(request, settings_.instance);
   configuration_.Command(
-      LedgerEntry(message.claim), kClaimPatience,
+      LedgerEntry(message.claim), kClaimTimeout,
       [this, request, task](std::optional<LedgerAnswer> answer) {
         context_.to_serving(task, ClaimAnswered{request, std::move(answer)});
       },
@@ -395,7 +397,7 @@
 
 void ControlTask::On(OutcomeReported& message, Time now) {
   configuration_.Command(
-      LedgerEntry(message.result), kOutcomePatience,
+      LedgerEntry(message.result), kOutcomeTimeout,
       [](const std::optional<LedgerAnswer>&) {}, now);
 }
 
@@ -473,21 +475,22 @@
   configuration_.Submit(change, std::move(message.reply), now);
 }
 
-void ControlTask::GiveRows(const std::string& table,
-                           std::function<void(std::vector<Row>)> take) {
+void ControlTask::CollectRows(const std::string& table,
+                              std::function<void(std::vector<Row>)> callback) {
   const Time now = MonotonicNow();
-  if (table == "requests") return GatherRequests(std::move(take));
-  if (table == "endpoints") return take(pools_.EndpointRows(now));
-  if (table == "owners") return take(pools_.OwnerRows(now));
-  if (table == "instances") return take(InstanceRows());
-  if (table == "changes") return take(configuration_.ChangeRows());
-  if (table == "data_centres") return take(DataCentreRows());
-  take(ConfigurationRows(table));
+  if (table == "requests") return GatherRequestRows(std::move(callback));
+  if (table == "endpoints") return callback(pools_.EndpointRows(now));
+  if (table == "owners") return callback(pools_.OwnerRows(now));
+  if (table == "instances") return callback(InstanceRows());
+  if (table == "changes") return callback(configuration_.ChangeRows());
+  if (table == "data_centres") return callback(DataCentreRows());
+  callback(ConfigurationRows(table));
 }
 
-void ControlTask::GatherRequests(std::function<void(std::vector<Row>)> take) {
+void ControlTask::GatherRequestRows(
+    std::function<void(std::vector<Row>)> callback) {
   const std::uint64_t id = next_gather_++;
-  gathers_[id] = {context_.serving_tasks, {}, std::move(take)};
+  gathers_[id] = {context_.serving_tasks, {}, std::move(callback)};
   for (int i = 0; i < context_.serving_tasks; ++i) {
     context_.to_serving(
         i, RequestRowsRequested{[this, id](std::vector<RequestRow> rows) {
@@ -527,7 +530,7 @@
   if (--gather.missing > 0) return;
   const Gather whole = std::move(gather);
   gathers_.erase(found);
-  whole.take(whole.rows);
+  whole.callback(whole.rows);
 }
 
 std::vector<Row> ControlTask::InstanceRows() const {
@@ -655,7 +658,7 @@
     membership_->Tick(now);
     DispatchMembership(now);
   }
-  SpreadMembers(now);
+  PublishMembers(now);
   configuration_.Tick(now);
   pools_.Tick(now);
   queries_.Tick(now);
--- a/main/raft_host.cc
+++ b/main/raft_host.cc
@@ -8,7 +8,7 @@
 
 namespace cassiausher {
 
-std::uint64_t NewStorageNumber() {
+std::uint64_t RandomNonZero() {
   std::random_device entropy;
   const std::uint64_t high = entropy();
   return (high << 32 | entropy()) | 1;
@@ -82,7 +82,7 @@
   if (draining_) return;
   draining_ = true;
   for (;;) {
-    // May propose or read, which leads to more output.
+    // The delegate may propose or read, which produces more output.
     delegate_.OnDispatched();
     RaftOutput output = raft_->TakeOutput();
     if (output.empty()) break;
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -8,9 +8,9 @@
 namespace cassiausher {
 namespace {
 
-// A read through the quorum this often shows that the leader still leads.
+// A quorum read this often confirms leadership.
 constexpr Duration kQuorumReadPeriod = Milliseconds(600);
-constexpr Duration kLostHoldersPeriod = Seconds(2);
+constexpr Duration kClaimCheckPeriod = Seconds(2);
 // Four heartbeats fit into the shortest election timeout; at 100 ms the leader
 // alone sent 1.6 KB/s of heartbeats.
 constexpr Duration kHeartbeat = Milliseconds(250);
@@ -19,8 +19,8 @@
 // a change doesn't abort it.
 constexpr Duration kConfigurationLease = Milliseconds(1900);
 constexpr Duration kLedgerExpiryPeriod = Seconds(60);
-// A snapshot after this many entries bounds the log on disk and the time of a
-// restart.
+// A snapshot after this many entries bounds the log on disk and the restart
+// time.
 constexpr std::uint64_t kEntriesPerSnapshot = 4000;
 
 }  // namespace
@@ -39,8 +39,8 @@
 std::string ReplicaHost::Start(std::unique_ptr<LogStorage> storage) {
   RaftOptions options;
   options.self = settings_.instance;
-  options.new_storage_id = NewStorageNumber();
-  options.seed = NewStorageNumber();
+  options.new_storage_id = RandomNonZero();
+  options.seed = RandomNonZero();
   options.heartbeat = kHeartbeat;
   for (const PeerSettings& peer : settings_.peers) {
     if (peer.voter) options.initial_voters.insert(peer.instance);
@@ -67,7 +67,7 @@
       Propose(LedgerEntry(LedgerExpiry{now - last_expiry_}), now);
       last_expiry_ = now;
     }
-    ProposeLostHolders(now);
+    ProposeClaimReleases(now);
     coordinator_.Tick(now);
   }
   host_.Tick();
@@ -105,8 +105,8 @@
   if (raft.role() == RaftRole::kLeader) return;
   if (coordinator_.leading()) coordinator_.StepDown();
   reads_.clear();
-  // Their entries may still be committed; the askers repeat their commands,
-  // which the state recognises.
+  // These entries may still be committed. The origins retry their commands, and
+  // the state machine recognises duplicates.
   for (const auto& [index, command] : std::exchange(commands_, {})) {
     delegate_.OnLedgerCommand(command.command, false, {});
   }
@@ -143,7 +143,7 @@
       raft().role() == RaftRole::kLeader && entry.term == raft().term();
   if (!own_term || coordinator_.leading()) return;
   last_expiry_ = now;
-  last_holders_ = now;
+  last_claim_check_ = now;
   coordinator_.BecomeLeader(now);
   coordinator_.SetMembers(members_, now);
 }
@@ -159,13 +159,13 @@
       delegate_.OnSubmissionAnswered(answer->submission, answer->answer);
     } else {
       const auto& lost = std::get<AbandonSubmission>(output);
-      delegate_.OnSubmissionLost(lost.submission, lost.reason);
+      delegate_.OnSubmissionAbandoned(lost.submission, lost.reason);
     }
   }
 }
 
 void ReplicaHost::Propose(const StateEntry& entry, Time now) {
-  // A refused proposal is repeated by its owner.
+  // Whoever proposed the entry retries a refused proposal.
   host_.raft().Propose(EncodeStateEntry(entry), now);
 }
 
@@ -173,7 +173,7 @@
                              std::map<InstanceId, Incarnation> started,
                              Time now) {
   members_ = std::move(members);
-  started_ = std::move(started);
+  start_incarnations_ = std::move(started);
   if (!coordinator_.leading()) return;
   coordinator_.SetMembers(members_, now);
   host_.Drain();
@@ -221,14 +221,14 @@
   host_.Drain();
 }
 
-void ReplicaHost::ProposeLostHolders(Time now) {
-  if (now - last_holders_ < kLostHoldersPeriod) return;
-  last_holders_ = now;
-  // Right after a start the members are not known yet.
-  if (started_.size() <= 1 && settings_.peers.size() > 1) return;
+void ReplicaHost::ProposeClaimReleases(Time now) {
+  if (now - last_claim_check_ < kClaimCheckPeriod) return;
+  last_claim_check_ = now;
+  // Right after startup the members aren't known yet.
+  if (start_incarnations_.size() <= 1 && settings_.peers.size() > 1) return;
   for (const auto& [instance, incarnation] : state_.ledger().ClaimHolders()) {
-    const auto found = started_.find(instance);
-    if (found == started_.end()) {
+    const auto found = start_incarnations_.find(instance);
+    if (found == start_incarnations_.end()) {
       Propose(LedgerEntry(LedgerInstanceLost{instance, incarnation}), now);
     } else if (incarnation < found->second) {
       const Incarnation earlier(found->second.value() - 1);
