--- a/modules/policy_reserving/reserving_policy.cc
+++ b/modules/policy_reserving/reserving_policy.cc
@@ -25,8 +25,9 @@
 /// The headroom for classes of higher priority is at most one slot in this
 /// many.
 constexpr int kSlotsPerHeadroomSlot = 20;
-/// The link counts as stalled when a first token is overdue by kMinStallDelay
-/// at a `prefill_thrift` of 1, or by kExtraStallDelay more at 0.
+/// The KV transfer link counts as stalled when the first token after a transfer
+/// is late by more than
+/// kMinStallDelay + (1 - prefill_thrift) * kExtraStallDelay.
 constexpr Duration kMinStallDelay = Milliseconds(100);
 constexpr Duration kExtraStallDelay = Milliseconds(1000);
 /// Factor on the mean expected wait. A request that would barely meet its
@@ -93,9 +94,9 @@
     return;
   }
   request.effective_deadline = EffectiveDeadline(request, now);
-  request.admit_by =
+  request.grant_by =
       request.effective_deadline - UnloadedLatency(request) - Margin(request);
-  if (request.admit_by < now) {
+  if (request.grant_by < now) {
     Refuse(request, RefusalReason::kOverloaded, RetryAfter(), now);
     return;
   }
@@ -119,17 +120,17 @@
     state.queue.PushInterrupted(id, now);
   } else {
     const double cost = ToSeconds(state.statistics.Residence());
-    state.queue.Push(id, request.request.account, cost, request.admit_by);
+    state.queue.Push(id, request.request.account, cost, request.grant_by);
   }
   if (NeedsPrefillEngine(request)) queued_prefill_tokens_ += request.prompt();
   request.queued_tokens =
       NeedsPrefillEngine(request) ? request.prompt() : Tokens(0);
-  timers_.insert({std::max(now, request.admit_by), id});
+  timers_.insert({std::max(now, request.grant_by), id});
 }
 
 void ReservingPolicy::OnDequeue(const Request& request, Time /*now*/) {
   const RequestId& id = request.request.id;
-  if (timers_.erase({request.admit_by, id}) == 0) return;
+  if (timers_.erase({request.grant_by, id}) == 0) return;
   queued_prefill_tokens_ -= request.queued_tokens;
   CheckInvariant(queued_prefill_tokens_ >= Tokens(0),
                  "queued prefill tokens are not negative");
@@ -242,7 +243,7 @@
     while (!state.queue.empty()) {
       const Request& last = *FindRequest(state.queue.next_dropped());
       const std::size_t before = ahead + state.queue.size() - 1;
-      if (now + ExpectedWait(last, before, now) <= last.admit_by) break;
+      if (now + ExpectedWait(last, before, now) <= last.grant_by) break;
       Refuse(last, RefusalReason::kOverloaded, RetryAfter(), now);
     }
     ahead += state.queue.size();
@@ -415,8 +416,8 @@
   reservation.link = {};
 }
 
-void ReservingPolicy::OnOutput(const Request& request, Tokens output,
-                               Time now) {
+void ReservingPolicy::OnOutputComplete(const Request& request, Tokens output,
+                                       Time now) {
   if (request.stage != RequestStage::kDecode) return;
   StateOf(request).statistics.RecordOutput(output, now - request.granted);
 }
--- a/modules/policy_reserving/reserving_policy.h
+++ b/modules/policy_reserving/reserving_policy.h
@@ -40,7 +40,8 @@
   void OnEnd(const Request& request, Time now) override;
   void OnPrefillDone(Request& request, Time now) override;
   void OnFirstOutput(const Request& request, Time now) override;
-  void OnOutput(const Request& request, Tokens output, Time now) override;
+  void OnOutputComplete(const Request& request, Tokens output,
+                        Time now) override;
   void ApplyCacheEvent(const PoolEndpoint& endpoint, const CacheEvent& event,
                        Time now) override;
 
@@ -117,7 +118,7 @@
   Bytes KvNeed(const Request& request, const PoolEndpoint& decode) const;
 
   std::map<ClassKey, ClassState> classes_;
-  /// Queued requests by `admit_by`, after which they are refused.
+  /// Queued requests by `grant_by`, after which they are refused.
   std::set<std::pair<Time, RequestId>> timers_;
   std::unordered_map<RequestId, RequestReservation> reservations_;
   /// Transfers in progress by `transfer_due`.
--- a/servers/control/stage_balancer.h
+++ b/servers/control/stage_balancer.h
@@ -119,7 +119,8 @@
   bool HasSparePrefillRunner(const Counts& counts) const;
   /// Role that should get a runner once the need has lasted for Hold().
   std::optional<EndpointRole> NeededRole(const Counts& counts) const;
-  /// Orders the least loaded runner of role `from` that isn't in cooldown.
+  /// Returns an order for the runner of role `from` with the least forecast KV
+  /// cache use that isn't in cooldown, or null.
   std::optional<StageOrder> ChooseRunner(const std::vector<RunnerLoad>& runners,
                                          EndpointRole from, Time now) const;
 
--- a/servers/entry/endpoint_pool.cc
+++ b/servers/entry/endpoint_pool.cc
@@ -32,7 +32,8 @@
 // Penalty for occupancy, as the latency that full occupancy is worth: a highly
 // loaded runner generates tokens slowly and preempts requests.
 constexpr double kOccupancyPenaltyUs = 120000;
-// Penalty for a runner that counts as full.
+// Penalty for a runner that counts as full. An endpoint whose score reaches it
+// for any reason is picked only if its score is the lowest.
 constexpr double kFullPenaltyUs = 2e6;
 // Minimum occupancy reported for a runner that just rejected a request.
 constexpr double kOverFull = 1.01;
--- a/servers/entry/endpoint_pool.h
+++ b/servers/entry/endpoint_pool.h
@@ -123,11 +123,14 @@
   /// Drops departed endpoints and reports of silent ones that are out of date.
   void Expire(Time now);
 
-  /// Picks the endpoint with the lowest score for plain work. For work of a
-  /// model runner, picks the better of two random ones (power of two choices):
-  /// loads of other instances are known late, so all instances would send their
-  /// work to the same best runner. Endpoints that are silent or whose circuit
-  /// is open come last. Null if there is none.
+  /// Picks `work.reserved_at` if it is usable, that is, has a score below the
+  /// penalty for a full runner. Otherwise, for work of a model runner, picks
+  /// the better of two random usable runners (power of two choices) if there
+  /// are more than two: loads of other instances are known late, so all
+  /// instances would send their work to the same best runner. In all other
+  /// cases picks the endpoint with the lowest score. Endpoints that are silent,
+  /// whose circuit is open, or whose circuit is half-open with a request in
+  /// flight come last. Null if there is none.
   std::optional<Placement> Pick(const WorkSpec& work, Time now);
 
   void OnStart(const EndpointId& id, const WorkSpec& work, Time now);
--- a/servers/membership/membership.h
+++ b/servers/membership/membership.h
@@ -49,10 +49,11 @@
   Duration acknowledgement_timeout = Milliseconds(150);
   /// Members that are asked to probe a target that didn't answer.
   std::size_t indirect_probes = 3;
-  /// Successors of this member in score order that it probes in each interval
-  /// besides the next one in random order. With random order alone a dead
-  /// member goes unprobed for 2.3 s in 1 case of 100; with two fixed observers
-  /// a probe starts within one interval unless both died with it.
+  /// In each interval, a member probes the next member in random order and also
+  /// this many fixed ones: its successors in the ring of members ordered by
+  /// score. With random order alone, a dead member goes unprobed for 2.3 s in 1
+  /// case of 100; with two fixed observers a probe starts within one interval
+  /// unless both died with it.
   std::size_t ring_probes = 2;
   /// Time from suspicion to death without confirmations by other members; two
   /// confirmations shorten it to the minimum. Probe interval, two
--- a/servers/ownership/ownership.cc
+++ b/servers/ownership/ownership.cc
@@ -138,8 +138,9 @@
     return;
   }
   const bool here = message.data_centre() == options_.data_centre.value();
-  // Another data centre may only ask this instance for its vote as a witness,
-  // or answer as one.
+  // For pools of another data centre, this instance can only be the witness: it
+  // gets claims and the release of its vote. A VOTE passes here as well, but
+  // OnVote() ignores it.
   const bool across = message.kind() == Message::CLAIM ||
                       message.kind() == Message::VOTE ||
                       message.kind() == Message::RELEASE;
@@ -300,8 +301,8 @@
     const Epoch epoch(item.epoch());
     pool.highest = std::max(pool.highest, epoch);
     if (epoch < pool.owner_epoch) {
-      // Endpoints may already have seen the higher epoch, so the sender needs a
-      // new one.
+      // Endpoints may already have seen the higher epoch. A vote that is not
+      // granted and names no holder makes an owner raise its own epoch.
       SendItem(Message::VOTE, from, service, pool.owner_epoch);
       continue;
     }
@@ -476,7 +477,7 @@
   pool.held_epoch = pool.epoch;
   pool.successor = InstanceId();
   pool.highest = std::max(pool.highest, pool.epoch);
-  pool.misplaced_since = Time::max();
+  pool.other_preferred_since = Time::max();
   pool.next_round = now + options_.renew_interval;
   NoteOwner(service, pool, {options_.self, options_.started}, pool.epoch, now);
   outputs_.events.push_back({OwnershipEventKind::kAcquired, PoolIdOf(service),
@@ -517,7 +518,7 @@
                               const InstanceId& successor, Time now) {
   pool.role = Role::kHandingOver;
   pool.successor = successor;
-  pool.handover_deadline = now + options_.handover_timeout;
+  pool.attempt_deadline = now + options_.handover_timeout;
   // Stops renewing, so that the successor can take over when the lease has run
   // out even if this instance no longer answers.
   pool.round = 0;
@@ -546,7 +547,7 @@
   pool.predecessor_epoch = epoch;
   pool.predecessor_gone = now + options_.lease;
   pool.epoch = NextEpoch(pool);
-  pool.handover_deadline = now + 2 * options_.lease;
+  pool.attempt_deadline = now + 2 * options_.lease;
   StartRound(service, pool, now);
 }
 
@@ -596,7 +597,7 @@
   RaiseEpoch(pool, now);
   pool.role = Role::kOwner;
   pool.successor = InstanceId();
-  pool.misplaced_since = Time::max();
+  pool.other_preferred_since = Time::max();
 }
 
 void Ownership::RaiseEpoch(Pool& pool, Time now) {
@@ -634,7 +635,7 @@
     case Role::kHandingOver:
       return TickOwner(service, pool, now);
     case Role::kReceiving:
-      if (now >= pool.handover_deadline) return StepDown(service, pool, now);
+      if (now >= pool.attempt_deadline) return StepDown(service, pool, now);
       if (now < pool.next_round) return;
       if (pool.highest > pool.epoch) pool.epoch = NextEpoch(pool);
       return StartRound(service, pool, now);
@@ -643,7 +644,7 @@
           !OwnerGone(pool, now)) {
         return StepDown(service, pool, now);
       }
-      if (now >= pool.handover_deadline) {
+      if (now >= pool.attempt_deadline) {
         // Two claimants with half of the votes each would block each other; a
         // random delay separates them.
         StepDown(service, pool, now);
@@ -670,14 +671,14 @@
   // Never reuses a claimed epoch: a delayed release of that claim would end the
   // promise for this one.
   pool.epoch = NextEpoch(pool);
-  pool.handover_deadline = now + 2 * options_.lease;
+  pool.attempt_deadline = now + 2 * options_.lease;
   StartRound(service, pool, now);
 }
 
 void Ownership::TickOwner(const ServiceId& service, Pool& pool, Time now) {
   if (now >= pool.valid_until) return StepDown(service, pool, now);
   if (pool.role == Role::kHandingOver) {
-    if (now >= pool.handover_deadline) {
+    if (now >= pool.attempt_deadline) {
       AbortHandover(pool, now);
     } else if (now >= pool.next_round) {
       pool.next_round = now + options_.claim_interval;
@@ -691,12 +692,12 @@
   if (now < pool.next_round && !leaving_) return;
   const InstanceId preferred = PreferredOwner(service, now);
   const bool misplaced = !preferred.empty() && preferred != options_.self;
-  if (!misplaced) pool.misplaced_since = Time::max();
-  if (misplaced && pool.misplaced_since == Time::max()) {
-    pool.misplaced_since = now;
+  if (!misplaced) pool.other_preferred_since = Time::max();
+  if (misplaced && pool.other_preferred_since == Time::max()) {
+    pool.other_preferred_since = now;
   }
   const bool long_enough =
-      misplaced && now - pool.misplaced_since >= options_.stable_after;
+      misplaced && now - pool.other_preferred_since >= options_.stable_after;
   // Enough of the lease must be left for the hand-over.
   const bool fresh = pool.held_epoch == pool.epoch &&
                      pool.valid_until - now > options_.handover_timeout;
@@ -723,7 +724,7 @@
       next = std::min(next, pool.valid_until);
     }
     if (pool.role == Role::kHandingOver) {
-      next = std::min(next, pool.handover_deadline);
+      next = std::min(next, pool.attempt_deadline);
     }
   }
   return next;
--- a/servers/ownership/ownership.h
+++ b/servers/ownership/ownership.h
@@ -3,12 +3,14 @@
 // The first live instance in rendezvous order owns a pool while it holds a
 // lease, which a majority of voters renews. There are two kinds of pool:
 //
-// - Endpoints honour fencing: the voters are the live instances in the
-//   owner's view. A new owner starts at once with a higher epoch. Under a
-//   partition both sides may have an owner; endpoints obey the higher epoch.
-// - Endpoints ignore fencing: the voters are the electorate, dead members
-//   included, and a vote promises the pool to one holder for the duration of
-//   a lease. At most one instance holds a valid lease at any time.
+// - Endpoints honour fencing: the voters are chosen among the live instances
+//   in the owner's view. A new owner starts at once with a higher epoch. Under
+//   a partition both sides may have an owner; endpoints obey the higher epoch.
+// - Endpoints ignore fencing: the voters are chosen in the electorate, dead
+//   members included, and a vote promises the pool to one holder for the
+//   duration of a lease. At most one instance holds a valid lease at any time.
+//
+// The first OwnershipOptions::voters_maximum of them in rendezvous order vote.
 //
 // The bounds of the second guarantee are in docs/decisions/006-ownership.md.
 #ifndef SERVERS_OWNERSHIP_OWNERSHIP_H_
@@ -42,7 +44,9 @@
   /// Instances of this data centre named in the settings. They let an instance
   /// that starts during a partition know of the members it can't see.
   std::set<InstanceId> voters;
-  /// See Electorate; from WitnessOf().
+  /// Instance of another data centre that votes on this one's unfenced pools
+  /// while the electorate has exactly two members; chosen by WitnessOf().
+  /// Empty for none.
   InstanceId witness;
   std::uint64_t random_seed = 1;
 
@@ -65,8 +69,8 @@
   Duration handover_timeout = Seconds(1);
   /// An owner that was not heard for this long is taken to have lost its lease.
   Duration owner_silence = Seconds(6);
-  /// Voters of a pool; limits the renewal traffic at 67 instances in a data
-  /// centre.
+  /// At most this many instances vote on a pool, which limits the renewal
+  /// traffic in a data centre of 67 instances.
   std::size_t voters_maximum = 5;
 };
 
@@ -82,7 +86,8 @@
 struct OwnershipEvent {
   OwnershipEventKind kind = OwnershipEventKind::kAcquired;
   PoolId pool;
-  /// The new owner.
+  /// kAcquired, kOwnerChanged: the new owner. kReleased: this instance, which
+  /// no longer owns the pool.
   InstanceId instance;
   Epoch epoch{0};
 };
@@ -117,6 +122,8 @@
   std::uint64_t claims_granted = 0;
   std::uint64_t claims_refused = 0;
   std::uint64_t electorate_mismatches = 0;
+  /// Ends of an ownership without a completed hand-over, whatever the cause,
+  /// such as an expired lease, a newer owner or a removed pool.
   std::uint64_t leases_lost = 0;
   std::uint64_t handovers = 0;
   std::uint64_t handovers_aborted = 0;
@@ -187,8 +194,9 @@
     /// commit.
     InstanceId successor;
     Epoch successor_epoch{0};
-    /// When a hand-over or an attempt to claim is given up.
-    Time handover_deadline{};
+    /// When the current attempt is given up: a claim, or a hand-over at its
+    /// owner or its successor.
+    Time attempt_deadline{};
     /// kReceiving: the owner that hands over, and when its lease has run out in
     /// any case.
     InstanceId predecessor;
@@ -199,8 +207,9 @@
     Epoch owner_epoch{0};
     /// Time::min() once it has released the pool.
     Time owner_last_heard{};
-    /// Since when another instance is the preferred owner.
-    Time misplaced_since{Time::max()};
+    /// Since when another instance is the preferred owner; Time::max() if none
+    /// is.
+    Time other_preferred_since{Time::max()};
   };
   struct MemberStatus {
     Incarnation started{0};
--- a/servers/routing/policy_base.cc
+++ b/servers/routing/policy_base.cc
@@ -295,7 +295,7 @@
     return;
   }
   if (output_tokens < Tokens(0)) ++counters_.out_of_range;
-  OnOutput(*known, std::max(Tokens(0), output_tokens), now);
+  OnOutputComplete(*known, std::max(Tokens(0), output_tokens), now);
   Release(request, now);
   OnCapacity(now);
 }
--- a/servers/routing/policy_base.h
+++ b/servers/routing/policy_base.h
@@ -66,11 +66,11 @@
     /// Endpoints of an adopted request that have not announced themselves yet.
     EndpointId pending_prefill;
     EndpointId pending_decode;
-    /// When the first token is due and the latest grant that can meet it, for
-    /// policies that queue by deadline. Unlike deadline(), the policy may
-    /// extend this deadline beyond the class's target.
+    /// When the first token is due, for policies that queue by deadline. Unlike
+    /// deadline(), the policy may extend it beyond the class's target.
     Time effective_deadline{};
-    Time admit_by{};
+    /// Latest time of a grant that can meet `effective_deadline`.
+    Time grant_by{};
 
     Time deadline() const { return request.arrived + targets.first_token; }
     /// Tokens to prefill, including the output tokens that earlier attempts
@@ -95,10 +95,15 @@
   virtual void OnBegin(Request& /*request*/, Time /*now*/) {}
   /// Called before a request that was granted or adopted is freed.
   virtual void OnEnd(const Request& /*request*/, Time /*now*/) {}
+  /// Called when a prefill engine has finished the prompt and its load was
+  /// released.
   virtual void OnPrefillDone(Request& /*request*/, Time /*now*/) {}
+  /// Called when the request's first output token was reported.
   virtual void OnFirstOutput(const Request& /*request*/, Time /*now*/) {}
-  virtual void OnOutput(const Request& /*request*/, Tokens /*output*/,
-                        Time /*now*/) {}
+  /// Called before a request that finished is freed, with its total output. Not
+  /// called if it failed or was cancelled.
+  virtual void OnOutputComplete(const Request& /*request*/, Tokens /*output*/,
+                                Time /*now*/) {}
   /// Called for events with a new sequence number, also after a gap.
   virtual void ApplyCacheEvent(const PoolEndpoint& /*endpoint*/,
                                const CacheEvent& /*event*/, Time /*now*/) {}
@@ -171,8 +176,9 @@
 
   RoutingOptions options_;
   ServiceId service_;
-  /// The pool has a prefill engine, or lost its last one less than
-  /// kPrefillAbsenceTimeout ago. Cleared when an endpoint is next upserted.
+  /// True while the pool has a prefill engine and for kPrefillAbsenceTimeout
+  /// after it lost the last one. After that it stays true until the next
+  /// UpsertEndpoint(). An upsert into an empty pool clears it at once.
   bool has_prefill_engines_ = false;
   int prefill_count_ = 0;
   /// When a prefill engine was last removed.
--- a/servers/scaling/scaling_types.h
+++ b/servers/scaling/scaling_types.h
@@ -80,7 +80,7 @@
   auto operator<=>(const OrderId&) const = default;
 };
 
-/// Sent to the endpoint's `POST /orders`. `id.epoch` is the fencing number.
+/// Sent to the endpoint's `POST /orders`. `id.epoch` is the fencing token.
 struct ScalingOrder {
   OrderId id;
   OrderKind kind = OrderKind::kSetRole;
@@ -116,7 +116,7 @@
   kNone,
   kNoLease,
   kStaleEpoch,         ///< An endpoint has seen a higher epoch.
-  kSettling,           ///< The epoch is too new, see `settle_time`.
+  kSettling,           ///< Within `settle_time` of a new lease or epoch.
   kUnhealthyEndpoint,  ///< An endpoint is suspect or quarantined.
   kHolding,            ///< The imbalance hasn't lasted for long enough.
   kCooldown,           ///< Of the pool or of every candidate.
--- a/servers/serving/request_flow.h
+++ b/servers/serving/request_flow.h
@@ -111,7 +111,8 @@
 class RequestFlow {
  public:
   /// If `request.delivered_tokens` is above 0, the caller has received that
-  /// many chunks over an earlier connection, and the answer resumes after them.
+  /// many output tokens (one chunk each) over an earlier connection, and the
+  /// answer resumes after them.
   RequestFlow(RouteRequest request, RequestFlowOptions options, Time now);
 
   void Start(Time now);
