--- a/main/entry_node.cc
+++ b/main/entry_node.cc
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr Duration kTickPeriod = Milliseconds(500);
-// Placements are sent in batches; prefill of a prompt takes longer than this.
+// Interval between batches of placements. Shorter than the prefill of a prompt,
+// so that other instances learn of a request while it still loads the endpoint.
 constexpr Duration kPlacementPeriod = Milliseconds(25);
 constexpr Duration kExpiryPeriod = Seconds(5);
 // A control instance that sent no update and was named by no seed list or
@@ -68,7 +69,7 @@
 std::string EntryNode::Start() {
   Reload(settings_);
   if (auto error = link_.Listen(context_); !error.empty()) return error;
-  const auto limit = [](int, std::string_view message) {
+  const auto format_error_body = [](int, std::string_view message) {
     return std::string(message);
   };
   callers_ = std::make_unique<HttpServer>(
@@ -77,7 +78,7 @@
       [this](HttpExchangePtr exchange) {
         OnCallerRequest(std::move(exchange));
       },
-      limit);
+      format_error_body);
   if (auto error = callers_->Listen(context_); !error.empty()) return error;
   readiness_ = std::make_unique<HttpServer>(
       HttpServerOptions{.address = settings_.readiness->ip,
@@ -88,7 +89,7 @@
         const int status = !known ? 404 : Ready() ? 200 : 503;
         exchange->Respond(status, kJson, "{}");
       },
-      limit);
+      format_error_body);
   if (auto error = readiness_->Listen(context_); !error.empty()) return error;
   timer_ = AddTimer(context_, kTickPeriod, [this] { Tick(); });
   placement_timer_ =
--- a/main/forwarded_request.cc
+++ b/main/forwarded_request.cc
@@ -334,10 +334,11 @@
 
 void ForwardedRequest::FinishCall(WorkOutcome outcome) {
   const Time now = BootTimeNow();
-  const Time done = first_event_at_.value_or(now);
+  const Time first_event_or_end = first_event_at_.value_or(now);
   context_.client->Cancel(call_id_);
-  context_.pool->OnFinish(call_->endpoint.id, call_->work, outcome,
-                          std::max(Duration(0), done - call_started_), now);
+  context_.pool->OnFinish(
+      call_->endpoint.id, call_->work, outcome,
+      std::max(Duration(0), first_event_or_end - call_started_), now);
   call_.reset();
   progress_deadline_.reset();
 }
--- a/servers/configuration/change_coordinator.cc
+++ b/servers/configuration/change_coordinator.cc
@@ -151,7 +151,8 @@
 void ChangeCoordinator::OnApplied(const Applied& applied, Time now) {
   if (!leading_) return;
   if (applied.kind == AppliedKind::kLedger) return;
-  // Also on kBusy, so that the change is proposed again.
+  // The entry may have been refused because another change was staged (kBusy);
+  // the change is then proposed again as soon as none is staged.
   if (!queue_.empty() && queue_.front().id == applied.id) {
     next_stage_proposal_ = Time();
   }
@@ -402,8 +403,10 @@
     return progress.has_configuration && progress.active >= revision;
   };
   Missing missing = FindMissing(*state_->active(), now, runs_it);
-  // A lease guarantees that nothing newer is in force, in excluded data centres
-  // too; without contact it expires.
+  // While an instance holds a lease, no revision newer than its own may be in
+  // force. This includes instances of excluded data centres, so the revision is
+  // confirmed only once they run it or, without contact, their lease has
+  // expired.
   const auto& excluded = state_->active()->excluded_data_centres;
   for (const auto& [instance, progress] : followers_) {
     if (!excluded.contains(progress.data_centre)) continue;
--- a/servers/configuration/change_coordinator.h
+++ b/servers/configuration/change_coordinator.h
@@ -75,8 +75,9 @@
   /// Abandons pending submissions; leaves a staged change to the next leader.
   void StepDown();
   /// A majority of voters confirmed a heartbeat sent at `sent_at`. Leases
-  /// expire at most `lease` after it, so that those of a deposed leader have
-  /// expired once a new leader has led for as long, plus clock drift.
+  /// expire at most `lease` after `sent_at`. A new leader that has led for
+  /// `lease` plus clock drift therefore knows that all leases of the previous
+  /// leader have expired.
   void OnQuorumContact(Time sent_at);
   void SetMembers(LiveMembers members, Time now);
 
@@ -114,8 +115,9 @@
     std::uint64_t submission = 0;
     ChangeId id;
     TextHash text;
-    /// Set once the change is active: when it is answered as not in force if a
-    /// data centre still hasn't confirmed it.
+    /// Set once the change is active. If it isn't confirmed by then, the answer
+    /// says that it is not in force and names the data centres without
+    /// confirmation.
     std::optional<Time> deadline;
   };
   /// Distribution of the staged change to all instances.
--- a/servers/consensus/raft.h
+++ b/servers/consensus/raft.h
@@ -196,6 +196,9 @@
   const ReplicaId& leader() const { return leader_; }
   const ReplicaId& replica() const { return replica_; }
   LogIndex commit_index() const { return hard_state_.commit; }
+  /// Index of the last entry handed to the owner, in RaftOutput::committed or
+  /// as part of a snapshot. The owner applies it later, when it handles the
+  /// output.
   LogIndex applied_index() const { return delivered_index_; }
   LogIndex last_index() const { return log_.LastIndex(); }
   LogIndex first_kept_index() const { return log_.base_index() + 1; }
@@ -220,8 +223,10 @@
 
  private:
   enum class Replication { kProbe, kPipeline, kSnapshot };
-  /// Whether an append without entries is sent too: never, to announce a new
-  /// commit index, or as a heartbeat.
+  /// Why appends are sent. If no entries can be sent to a member in kPipeline,
+  /// it gets an empty append for kCommit, to announce a new commit index, and
+  /// for kHeartbeat, but none for kEntries. kHeartbeat also repeats unanswered
+  /// probes and snapshot chunks.
   enum class SendReason { kEntries, kCommit, kHeartbeat };
 
   /// Replication state of another member, as the leader tracks it.
--- a/servers/consensus/raft_replication.cc
+++ b/servers/consensus/raft_replication.cc
@@ -234,9 +234,9 @@
   }
   std::ranges::sort(rounds, std::greater<>());
   const std::uint64_t confirmed = rounds[configuration().Quorum() - 1];
-  const LogIndex applied = std::min(hard_state_.commit, durable_index_);
+  const LogIndex deliverable = std::min(hard_state_.commit, durable_index_);
   while (!pending_reads_.empty() && pending_reads_.front().round <= confirmed &&
-         pending_reads_.front().index <= applied) {
+         pending_reads_.front().index <= deliverable) {
     output_.reads.push_back({pending_reads_.front().id, true});
     pending_reads_.pop_front();
   }
--- a/servers/ledger/ledger.h
+++ b/servers/ledger/ledger.h
@@ -212,7 +212,7 @@
  private:
   struct Slot {
     LedgerRecord record;
-    /// Key in `by_age_`.
+    /// Sequence number of the last change of state; key in `by_age_`.
     std::uint64_t age = 0;
   };
   using Records = std::map<LedgerKey, Slot>;
@@ -237,6 +237,7 @@
   /// Records in the order of their last change of state, so that expiry visits
   /// only records past the retention.
   std::map<std::uint64_t, Slot*> by_age_;
+  /// Sequence number of the next change of state.
   std::uint64_t next_age_ = 1;
   std::size_t answers_bytes_ = 0;
   std::size_t text_bytes_ = 0;
