--- a/tests/tools/silent_relay_test.cc
+++ b/tests/tools/silent_relay_test.cc
@@ -1,5 +1,5 @@
-// Guards against a relay that closes the connections it should only forget:
-// the router would then see an error instead of silence.
+// Guards against a relay that closes the connections it should only silence:
+// the router would then get an error instead of no data.
 #include "tools/load/silent_relay/silent_relay.h"
 
 #include <CppUTest/TestHarness.h>
@@ -29,23 +29,23 @@
   }
 };
 
-TEST(SilentRelay, ForgetsOpenConnectionsAndServesNewOnes) {
+TEST(SilentRelay, SilencedConnectionsStayOpenAndNewOnesWork) {
   SilentRelay relay(Target());
   Start(relay);
   const std::string body = R"({"prompt":"abc","stream":true})";
-  RawHttpClient forgotten(relay_url, "/v1/completions", body);
-  CHECK(forgotten.WaitFor("id: 2\n"));
-  LONGS_EQUAL(1, relay.ForgetOpen());
-  forgotten.Poll();
-  const std::string before = forgotten.received();
+  RawHttpClient silenced(relay_url, "/v1/completions", body);
+  CHECK(silenced.WaitFor("id: 2\n"));
+  LONGS_EQUAL(1, relay.SilenceOpenConnections());
+  silenced.Poll();
+  const std::string before = silenced.received();
   RawHttpClient working(relay_url, "/v1/completions", body);
   CHECK(working.WaitFor("[DONE]"));
-  forgotten.Poll();
-  STRCMP_EQUAL(before.c_str(), forgotten.received().c_str());
-  CHECK(!forgotten.closed_by_server());
+  silenced.Poll();
+  STRCMP_EQUAL(before.c_str(), silenced.received().c_str());
+  CHECK(!silenced.closed_by_server());
 }
 
-TEST(SilentRelay, PassesACloseOn) {
+TEST(SilentRelay, ClientCloseIsForwarded) {
   SilentRelay relay(Target());
   Start(relay);
   RawHttpClient client(relay_url, "/v1/completions",
@@ -55,7 +55,7 @@
   CHECK(RunUntil([&] { return endpoint.State()["held_sessions"] == 0; }));
 }
 
-TEST(SilentRelay, NamesAnAddressThatIsNone) {
+TEST(SilentRelay, InvalidListenAddressIsReported) {
   SilentRelay relay("127.0.0.1:1");
   CHECK(!relay.Start("nowhere.invalid:0").empty());
 }
--- a/tools/load/checker.cc
+++ b/tools/load/checker.cc
@@ -13,10 +13,11 @@
 using nlohmann::json;
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-/// Section 5 of the design: memory is released this soon after a caller left.
-constexpr std::int64_t kReleaseLimitMs = 5000;
-/// Tolerance between the moment of a fault and its effect at a caller.
-constexpr std::int64_t kFaultSlackMs = 3000;
+/// Section 5 of the design: memory is released within this time after a caller
+/// has disconnected.
+constexpr std::int64_t kMaxReleaseMs = 5000;
+/// Maximum time between a fault and its effect at a caller.
+constexpr std::int64_t kFaultToleranceMs = 3000;
 
 class Checker {
  public:
@@ -24,7 +25,7 @@
 
   std::vector<Violation> Run() {
     for (const Attempt& attempt : history_.attempts) {
-      owners_.emplace(attempt.text_hash, &attempt);
+      attempts_by_hash_.emplace(attempt.text_hash, &attempt);
     }
     for (const Attempt& attempt : history_.attempts) CheckAttempt(attempt);
     CheckExecutions();
@@ -33,7 +34,8 @@
   }
 
  private:
-  /// All attempts that share a key, or one request id without a key.
+  /// All attempts with the same idempotency key or, without a key, the same
+  /// request id.
   struct Group {
     const Attempt* first = nullptr;
     bool idempotent = true;
@@ -42,7 +44,8 @@
     std::int64_t executions = 0;
   };
 
-  void Add(const char* invariant, const Attempt& attempt, std::string reason) {
+  void AddViolation(const char* invariant, const Attempt& attempt,
+                    std::string reason) {
     violations_.push_back(
         {invariant, fmt::format("{}: {}", reason, FormatAttempt(attempt))});
   }
@@ -53,19 +56,22 @@
       case Outcome::kRefused:
         return;
       case Outcome::kMalformed:
-        return Add("malformed", attempt, "neither an answer nor a refusal");
+        return AddViolation("malformed", attempt,
+                            "neither an answer nor a refusal");
       case Outcome::kCut:
-        // libsoup reports a connection that broke between two chunks as an
-        // orderly end, so that a kill can show as a cut answer.
-        if (Excused(attempt)) break;
-        return Add("cut", attempt, "the answer ended without its end mark");
+        // libsoup reports a connection that broke between two chunks as a
+        // regular end of the body, so a kill can appear as a cut answer.
+        if (ExplainedByFault(attempt)) break;
+        return AddViolation("cut", attempt,
+                            "the answer ended without its end mark");
       case Outcome::kTimedOut:
-        if (!Excused(attempt)) Add("lost", attempt, "no answer came");
+        if (!ExplainedByFault(attempt))
+          AddViolation("lost", attempt, "no answer came");
         break;
       case Outcome::kBroken:
-        if (Excused(attempt)) break;
-        Add(attempt.answer.empty() ? "lost" : "cut", attempt,
-            "the connection broke");
+        if (ExplainedByFault(attempt)) break;
+        AddViolation(attempt.answer.empty() ? "lost" : "cut", attempt,
+                     "the connection broke");
         break;
       case Outcome::kAnswered:
       case Outcome::kFailed:
@@ -82,50 +88,53 @@
   void CheckPlainAnswer(const Attempt& attempt) {
     if (attempt.outcome != Outcome::kAnswered) return;
     if (attempt.answer == fmt::format("{:08x}", attempt.text_hash)) return;
-    Add("other_request", attempt, "the answer belongs to another call");
+    AddViolation("other_request", attempt,
+                 "the answer belongs to another call");
   }
 
   void CheckText(const Attempt& attempt) {
     const bool whole = attempt.outcome == Outcome::kAnswered;
     std::vector<TokenRun> runs;
     if (!DecodeAnswer(attempt.answer, &runs)) {
-      return Add("malformed", attempt, "the answer contains foreign text");
+      return AddViolation("malformed", attempt,
+                          "the answer contains foreign text");
     }
-    const auto foreign = [&](const TokenRun& run) {
+    const auto is_foreign = [&](const TokenRun& run) {
       return run.hash != attempt.text_hash;
     };
-    const auto other = std::find_if(runs.begin(), runs.end(), foreign);
+    const auto other = std::find_if(runs.begin(), runs.end(), is_foreign);
     if (other != runs.end()) {
-      const bool all = std::all_of(runs.begin(), runs.end(), foreign);
-      const auto owner = owners_.find(other->hash);
-      return Add(all ? "other_request" : "mixed", attempt,
-                 fmt::format("text of {}", owner == owners_.end()
-                                               ? "an unknown prompt"
-                                               : owner->second->id));
+      const bool all = std::all_of(runs.begin(), runs.end(), is_foreign);
+      const auto owner = attempts_by_hash_.find(other->hash);
+      return AddViolation(
+          all ? "other_request" : "mixed", attempt,
+          fmt::format("text of {}", owner == attempts_by_hash_.end()
+                                        ? "an unknown prompt"
+                                        : owner->second->id));
     }
     std::int64_t expected = 1;
     bool ended = false;
     for (const TokenRun& run : runs) {
       if (run.first < expected || ended) {
-        return Add(
+        return AddViolation(
             "doubled", attempt,
             fmt::format("token {} came twice or out of order", run.first));
       }
       if (run.first > expected) {
-        return Add("lost", attempt,
-                   fmt::format("tokens {} to {} are missing", expected,
-                               run.first - 1));
+        return AddViolation("lost", attempt,
+                            fmt::format("tokens {} to {} are missing", expected,
+                                        run.first - 1));
       }
       expected = run.last + 1;
       ended = run.ended;
     }
     if (whole && !ended) {
-      Add("cut", attempt,
-          fmt::format("the text ends after token {}", expected - 1));
+      AddViolation("cut", attempt,
+                   fmt::format("the text ends after token {}", expected - 1));
     }
   }
 
-  bool Excused(const Attempt& attempt) const {
+  bool ExplainedByFault(const Attempt& attempt) const {
     const std::int64_t sent =
         history_.started_unix_ms + attempt.sent_us / kMicrosPerMilli;
     const std::int64_t end =
@@ -135,13 +144,13 @@
         [&](const FaultRecord& fault) {
           return fault.target == attempt.instance &&
                  (fault.fault == "kill" || fault.fault == "stop") &&
-                 fault.unix_ms <= end + kFaultSlackMs &&
-                 fault.unix_ms + fault.duration_ms >= sent - kFaultSlackMs;
+                 fault.unix_ms <= end + kFaultToleranceMs &&
+                 fault.unix_ms + fault.duration_ms >= sent - kFaultToleranceMs;
         });
   }
 
-  /// False when an endpoint's counts are missing or were reset.
-  bool ExecutionsAreKnown() const {
+  /// False when an endpoint's execution counts are missing or were reset.
+  bool ExecutionCountsAreComplete() const {
     std::unordered_set<std::string> names;
     for (const json& state : history_.states) {
       if (!state.contains("executions")) return false;
@@ -161,7 +170,7 @@
     std::unordered_map<std::string_view, Group> groups;
     groups.reserve(history_.attempts.size());
     for (const Attempt& attempt : history_.attempts) {
-      // An unreachable instance never had the request.
+      // An unreachable instance never received the request.
       const bool not_run = attempt.not_run == NotRun::kTrue ||
                            attempt.outcome == Outcome::kUnreachable;
       Group& group = groups[attempt.key.empty() ? attempt.id : attempt.key];
@@ -182,21 +191,22 @@
         found->second.executions += count.get<std::int64_t>();
       }
     }
-    const bool all_known = ExecutionsAreKnown();
+    const bool counts_complete = ExecutionCountsAreComplete();
     for (const auto& [key, group] : groups) {
-      if (all_known && group.answered && group.executions == 0) {
-        Add("unknown_execution", *group.first,
-            "answered, but no endpoint executed it");
+      if (counts_complete && group.answered && group.executions == 0) {
+        AddViolation("unknown_execution", *group.first,
+                     "answered, but no endpoint executed it");
       }
       if (group.executions > 0 && group.all_not_run) {
-        Add("not_run_but_executed", *group.first,
-            fmt::format("told not_run:true, but executed {} times",
+        AddViolation(
+            "not_run_but_executed", *group.first,
+            fmt::format("refused with not_run:true, but executed {} times",
                         group.executions));
       }
       if (group.executions > 1 && !group.idempotent) {
-        Add("executed_twice", *group.first,
-            fmt::format("non-idempotent, but executed {} times",
-                        group.executions));
+        AddViolation("executed_twice", *group.first,
+                     fmt::format("non-idempotent, but executed {} times",
+                                 group.executions));
       }
     }
   }
@@ -205,7 +215,7 @@
     const std::string name = state.value("name", "an endpoint");
     const std::int64_t sessions = state.value("held_sessions", 0);
     const std::int64_t bytes = state.value("held_kv_bytes", std::int64_t{0});
-    if (history_.states_after_ms >= kReleaseLimitMs &&
+    if (history_.states_after_ms >= kMaxReleaseMs &&
         (sessions > 0 || bytes > 0)) {
       violations_.push_back(
           {"held_memory",
@@ -224,7 +234,7 @@
   }
 
   const History& history_;
-  std::unordered_map<std::uint32_t, const Attempt*> owners_;
+  std::unordered_map<std::uint32_t, const Attempt*> attempts_by_hash_;
   std::vector<Violation> violations_;
 };
 
--- a/tools/load/history.cc
+++ b/tools/load/history.cc
@@ -16,23 +16,23 @@
 constexpr const char* kOutcomeNames[] = {
     "answered", "refused",   "failed",      "cancelled", "cut",
     "broken",   "timed_out", "unreachable", "malformed"};
-constexpr std::size_t kExcerptLength = 64;
+constexpr std::size_t kMaxExcerptBytes = 64;
 constexpr int kHashBase = 16;
 
-/// Reads "t<hash>-<n>" with its mark from the start of `text`; returns its
-/// length, or 0.
+/// Parses "t<hash>-<n>" and the space or end mark after it from the start of
+/// `text`. Returns the length, or 0 when there is no token.
 std::size_t ReadToken(std::string_view text, TokenRun* token) {
-  constexpr std::size_t kNumberAt = 10;
-  if (text.size() <= kNumberAt || text[0] != 't' ||
-      text[kNumberAt - 1] != '-') {
+  constexpr std::size_t kNumberOffset = 10;
+  if (text.size() <= kNumberOffset || text[0] != 't' ||
+      text[kNumberOffset - 1] != '-') {
     return 0;
   }
   const char* const begin = text.data();
   const char* const end = begin + text.size();
-  const auto hash =
-      std::from_chars(begin + 1, begin + kNumberAt - 1, token->hash, kHashBase);
-  const auto number = std::from_chars(begin + kNumberAt, end, token->first);
-  if (hash.ptr != begin + kNumberAt - 1 || number.ec != std::errc() ||
+  const auto hash = std::from_chars(begin + 1, begin + kNumberOffset - 1,
+                                    token->hash, kHashBase);
+  const auto number = std::from_chars(begin + kNumberOffset, end, token->first);
+  if (hash.ptr != begin + kNumberOffset - 1 || number.ec != std::errc() ||
       number.ptr == end || (*number.ptr != ' ' && *number.ptr != '.')) {
     return 0;
   }
@@ -63,7 +63,7 @@
   attempt->answer = line.at("answer").get<std::string>();
   attempt->code = line.at("code").get<std::string>();
   const json& not_run = line.at("not_run");
-  attempt->not_run = not_run.is_null()     ? NotRun::kUnsaid
+  attempt->not_run = not_run.is_null()     ? NotRun::kUnspecified
                      : not_run.get<bool>() ? NotRun::kTrue
                                            : NotRun::kFalse;
   const auto& outcome = line.at("outcome").get_ref<const std::string&>();
@@ -82,7 +82,7 @@
           .duration_ms = line.value("duration_ms", std::int64_t{0})};
 }
 
-/// What one reading thread found in its part of the file.
+/// The part of the file that one thread reads, and its result.
 struct Part {
   std::string_view text;
   std::size_t first_line = 0;
@@ -190,7 +190,7 @@
   if (open) AppendRun(run, &out);
   if (!text.empty()) {
     out += '!';
-    out += text.substr(0, kExcerptLength);
+    out += text.substr(0, kMaxExcerptBytes);
   }
   return out;
 }
@@ -220,9 +220,9 @@
 }
 
 std::string FormatAttempt(const Attempt& attempt) {
-  const char* not_run = attempt.not_run == NotRun::kUnsaid ? "null"
-                        : attempt.not_run == NotRun::kTrue ? "true"
-                                                           : "false";
+  const char* not_run = attempt.not_run == NotRun::kUnspecified ? "null"
+                        : attempt.not_run == NotRun::kTrue      ? "true"
+                                                                : "false";
   const auto quoted = [](const std::string& text) {
     return json(text).dump(-1, ' ', false, json::error_handler_t::replace);
   };
@@ -269,8 +269,8 @@
     return {};
   }
   const std::string text((std::istreambuf_iterator<char>(file)), {});
-  constexpr std::size_t kReaders = 4;
-  std::vector<Part> parts = SplitParts(text, kReaders);
+  constexpr std::size_t kReaderThreads = 4;
+  std::vector<Part> parts = SplitParts(text, kReaderThreads);
   std::vector<std::thread> readers;
   for (Part& part : parts) {
     readers.emplace_back([&path, &part] { ReadPart(path, &part); });
--- a/tools/load/history.h
+++ b/tools/load/history.h
@@ -1,5 +1,5 @@
-// The record of a load run: one JSON object a line, with a header first and a
-// footer last. A file without a footer was cut short.
+// The record of a load run: one JSON object per line, from a header to a
+// footer. A file without a footer is truncated.
 #ifndef TOOLS_LOAD_HISTORY_H_
 #define TOOLS_LOAD_HISTORY_H_
 
@@ -16,27 +16,27 @@
 namespace cassiausher {
 
 enum class Outcome {
-  kAnswered,     // whole answer, as far as HTTP tells
+  kAnswered,     // complete answer at the HTTP level
   kRefused,      // status other than 200 with an error object
   kFailed,       // error object inside a stream
   kCancelled,    // the caller closed the connection
-  kCut,          // the stream ended in order, but without its end mark
+  kCut,          // the stream ended regularly, but without its end mark
   kBroken,       // the connection broke after the request was sent
-  kTimedOut,     // no end within the caller's patience
+  kTimedOut,     // not complete within the caller's timeout
   kUnreachable,  // no connection; the request was not sent
-  kMalformed,    // an answer that is no answer and no refusal
+  kMalformed,    // neither a valid answer nor a refusal
 };
 
 const char* OutcomeName(Outcome outcome);
 
-/// What a refusal says about execution.
-enum class NotRun { kUnsaid, kTrue, kFalse };
+/// The field not_run of an error: whether the request was not executed.
+enum class NotRun { kUnspecified, kTrue, kFalse };
 
-/// One call of a caller to one instance. Times are microseconds since the
+/// One request of a caller to one instance. Times are microseconds since the
 /// start of the run.
 struct Attempt {
   std::string id;
-  /// Empty when the caller sent none.
+  /// Idempotency key; empty when the caller sent none.
   std::string key;
   std::string service;
   std::string instance;
@@ -45,12 +45,12 @@
   bool stream = false;
   bool idempotent = true;
   std::int64_t sent_us = 0;
-  /// -1 when no token came.
+  /// -1 when no token was received.
   std::int64_t first_us = -1;
   std::int64_t end_us = 0;
   int status = 0;
   Outcome outcome = Outcome::kBroken;
-  NotRun not_run = NotRun::kUnsaid;
+  NotRun not_run = NotRun::kUnspecified;
   /// See EncodeAnswer.
   std::string answer;
   std::string code;
@@ -68,35 +68,36 @@
   std::int64_t started_unix_ms = 0;
   std::vector<Attempt> attempts;
   std::vector<FaultRecord> faults;
-  /// /fake/state of each endpoint after the last caller left.
+  /// /fake/state of each endpoint after the last caller has disconnected.
   std::vector<nlohmann::json> states;
-  /// Time between the last caller's end and the states.
+  /// Time between the end of the last caller and the reading of the states.
   std::int64_t states_after_ms = 0;
   bool complete = false;
 };
 
-/// A stand-in's text as runs of consecutive tokens: "0123abcd:1-57." is the
-/// whole answer of 57 tokens. Text that is no token ends the list as
-/// "!" and an excerpt.
+/// Encodes a fake endpoint's text as runs of consecutive tokens:
+/// "0123abcd:1-57." is the whole answer of 57 tokens. At text that is not a
+/// token the list ends with "!" and an excerpt of it.
 std::string EncodeAnswer(std::string_view text);
 
 struct TokenRun {
   std::uint32_t hash = 0;
   std::int64_t first = 0;
   std::int64_t last = 0;
-  /// The last token bears the end mark.
+  /// The last token has the end mark.
   bool ended = false;
 };
-/// Returns false when the answer contains text that is no token.
+/// Returns false when the answer contains text that is not a token.
 bool DecodeAnswer(std::string_view encoded, std::vector<TokenRun>* runs);
 
 std::string FormatAttempt(const Attempt& attempt);
 
-/// Writes a history; safe from any thread.
+/// Writes a history. Add is thread-safe.
 class HistoryWriter {
  public:
   ~HistoryWriter();
-  /// An empty path writes nothing. Returns false when the file can't be made.
+  /// An empty path writes nothing. Returns false when the file can't be
+  /// created.
   bool Open(const std::string& path);
   void Add(const std::string& line);
   /// Returns false when any write failed.
@@ -108,11 +109,11 @@
   bool failed_ = false;
 };
 
-/// Reads `path`. Findings name the line that is no record, and a missing
-/// header or footer.
+/// Reads `path`. Adds a finding for each line that is not a valid record and
+/// for a missing header or footer.
 History ReadHistory(const std::string& path, Findings* findings);
 
-/// Appends fault records, one JSON object a line.
+/// Appends the fault records of `path`, one JSON object per line.
 void ReadFaults(const std::string& path, History* history, Findings* findings);
 
 }  // namespace cassiausher
--- a/tools/load/latency_histogram.cc
+++ b/tools/load/latency_histogram.cc
@@ -15,19 +15,19 @@
 }
 
 double LatencyHistogram::Percentile(double percent) const {
-  const double wanted = static_cast<double>(count()) * percent / 100;
-  if (wanted == 0) return 0;
-  double before = 0;
+  const double target_count = static_cast<double>(count()) * percent / 100;
+  if (target_count == 0) return 0;
+  double count_below = 0;
   for (auto&& bin :
        boost::histogram::indexed(histogram_, boost::histogram::coverage::all)) {
-    const auto here = static_cast<double>(*bin);
-    if (before + here < wanted || here == 0) {
-      before += here;
+    const auto bin_count = static_cast<double>(*bin);
+    if (count_below + bin_count < target_count || bin_count == 0) {
+      count_below += bin_count;
       continue;
     }
     const double lower = bin.index() < 0 ? 0 : bin.bin().lower();
     const double upper = std::min(bin.bin().upper(), kHighestMs);
-    return lower + (upper - lower) * (wanted - before) / here;
+    return lower + (upper - lower) * (target_count - count_below) / bin_count;
   }
   return kHighestMs;
 }
--- a/tools/load/latency_histogram.h
+++ b/tools/load/latency_histogram.h
@@ -1,4 +1,4 @@
-// Percentiles of durations on a logarithmic axis.
+// Latency histogram with logarithmic bins, for percentiles.
 #ifndef TOOLS_LOAD_LATENCY_HISTOGRAM_H_
 #define TOOLS_LOAD_LATENCY_HISTOGRAM_H_
 
@@ -7,7 +7,7 @@
 
 namespace cassiausher {
 
-/// Not safe for concurrent use; one for each thread, merged at the end.
+/// Not thread-safe: use one per thread and merge them at the end.
 class LatencyHistogram {
  public:
   void Record(std::int64_t microseconds) {
@@ -20,8 +20,7 @@
   double Percentile(double percent) const;
 
  private:
-  /// 0.001 ms to 1,000 s with 200 bins for each factor of ten, so that a bin
-  /// is 1.2% wide.
+  /// 0.001 ms to 1,000 s with 200 bins per decade, so that a bin is 1.2% wide.
   static constexpr unsigned kBins = 1800;
   static constexpr double kLowestMs = 1e-3;
   static constexpr double kHighestMs = 1e6;
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -42,12 +42,12 @@
 }
 
 void RecordStates(const std::vector<Target>& endpoints,
-                  std::int64_t last_left_ms, HistoryWriter& history) {
+                  std::int64_t last_caller_end_ms, HistoryWriter& history) {
   constexpr guint kTimeoutSeconds = 5;
   SoupSession* session = soup_session_new();
   soup_session_set_proxy_resolver(session, nullptr);
   soup_session_set_timeout(session, kTimeoutSeconds);
-  const std::int64_t after_ms = UnixMilliseconds() - last_left_ms;
+  const std::int64_t after_ms = UnixMilliseconds() - last_caller_end_ms;
   for (const Target& endpoint : endpoints) {
     history.Add(json({{"type", "state"},
                       {"after_ms", after_ms},
@@ -77,7 +77,7 @@
 
 void RunWorkers(const LoadPlan& plan, bool show_progress,
                 HistoryWriter& history, LoadTotals* totals) {
-  constexpr auto kPoll = std::chrono::milliseconds(100);
+  constexpr auto kPollPeriod = std::chrono::milliseconds(100);
   LoadProgress progress;
   std::atomic<std::int64_t> running{plan.workers};
   std::vector<std::unique_ptr<LoadWorker>> workers;
@@ -92,7 +92,7 @@
     });
   }
   while (running > 0) {
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollPeriod);
     if (interrupted != 0) progress.interrupted = true;
     if (show_progress) ShowProgress(progress, plan.started_us);
   }
@@ -122,9 +122,9 @@
                   .dump());
   RunWorkers(plan, options.show_progress, history, &result.totals);
   if (!options.history_path.empty()) {
-    const std::int64_t last_left_ms = UnixMilliseconds();
+    const std::int64_t last_caller_end_ms = UnixMilliseconds();
     std::this_thread::sleep_for(std::chrono::milliseconds(options.settle_ms));
-    RecordStates(options.endpoints, last_left_ms, history);
+    RecordStates(options.endpoints, last_caller_end_ms, history);
     RecordFaults(options.faults_path, history);
   }
   history.Add(
--- a/tools/load/load_run.h
+++ b/tools/load/load_run.h
@@ -1,5 +1,4 @@
-// A load run from start to end: workers, progress line, endpoint states and
-// the history around them.
+// Executes a load run: workers, progress line, endpoint states and history.
 #ifndef TOOLS_LOAD_LOAD_RUN_H_
 #define TOOLS_LOAD_LOAD_RUN_H_
 
@@ -15,18 +14,18 @@
 struct RunOptions {
   LoadPlan plan;
   std::vector<Target> endpoints;
-  /// Empty writes none.
+  /// Empty for no history.
   std::string history_path;
-  /// File that scripts/faults.py wrote beside the run; empty for none.
+  /// Fault records that scripts/faults.py wrote during the run; empty for none.
   std::string faults_path;
-  /// Time between the last caller's end and the look at the endpoints.
+  /// Time between the end of the last caller and reading the endpoints' states.
   std::int64_t settle_ms = 5000;
   bool show_progress = false;
 };
 
 struct RunResult {
   LoadTotals totals;
-  /// Reason why the run could not be recorded, or empty.
+  /// Why the run could not be recorded; empty on success.
   std::string failure;
 };
 
--- a/tools/load/load_totals.cc
+++ b/tools/load/load_totals.cc
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-json CountsOf(const ServiceTotals& totals) {
-  const std::int64_t wanted =
+json CountsToJson(const ServiceTotals& totals) {
+  const std::int64_t expected =
       std::max<std::int64_t>(1, totals.offered - totals.cancelled);
   return {{"offered", totals.offered},
           {"answered", totals.answered},
@@ -22,8 +22,8 @@
           {"unreachable", totals.unreachable},
           {"tokens", totals.tokens},
           {"codes", totals.codes},
-          {"goodput",
-           static_cast<double>(totals.on_time) / static_cast<double>(wanted)}};
+          {"goodput", static_cast<double>(totals.on_time) /
+                          static_cast<double>(expected)}};
 }
 
 void AddPercentiles(const std::string& name, const LatencyHistogram& histogram,
@@ -35,7 +35,7 @@
 }
 
 json ServiceToJson(const std::string& name, const ServiceTotals& totals) {
-  json out = CountsOf(totals);
+  json out = CountsToJson(totals);
   out["name"] = name;
   AddPercentiles("ttft", totals.first_token, &out);
   AddPercentiles("tbt", totals.between_tokens, &out);
@@ -78,10 +78,10 @@
     sum.Merge(totals);
     list.push_back(ServiceToJson(name, totals));
   }
-  json out = CountsOf(sum);
-  constexpr double kShortestSpan = 1e-6;
-  const double span = std::max(seconds, kShortestSpan);
-  const double offering = std::max(offering_seconds, kShortestSpan);
+  json out = CountsToJson(sum);
+  constexpr double kMinSpanSeconds = 1e-6;
+  const double span = std::max(seconds, kMinSpanSeconds);
+  const double offering = std::max(offering_seconds, kMinSpanSeconds);
   out["seconds"] = seconds;
   out["held_back"] = held_back;
   out["requests_per_second"] = static_cast<double>(sum.offered) / offering;
--- a/tools/load/load_totals.h
+++ b/tools/load/load_totals.h
@@ -1,4 +1,4 @@
-// Counts and latencies of a load run.
+// Request counts and latencies of a load run.
 #ifndef TOOLS_LOAD_LOAD_TOTALS_H_
 #define TOOLS_LOAD_LOAD_TOTALS_H_
 
@@ -35,7 +35,7 @@
 
 struct LoadTotals {
   std::map<std::string, ServiceTotals> services;
-  /// Arrivals that waited because the concurrency was used up.
+  /// Arrivals that waited because the concurrency limit was reached.
   std::int64_t held_back = 0;
   /// Length of the run, and of the part in which requests started.
   double seconds = 0;
@@ -45,7 +45,7 @@
   nlohmann::json ToJson() const;
 };
 
-/// The object of ToJson as a table.
+/// Formats the object returned by ToJson as a text table.
 std::string FormatTable(const nlohmann::json& totals);
 
 }  // namespace cassiausher
--- a/tools/load/load_worker.cc
+++ b/tools/load/load_worker.cc
@@ -12,15 +12,15 @@
 using nlohmann::json;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-/// A session looks through all its open calls at each step, so that many
+/// A SoupSession iterates over all its open requests at each step, so that many
 /// small sessions are faster than one large one.
-constexpr std::int64_t kCallsPerSession = 32;
-constexpr int kMostAttempts = 4;
-constexpr std::int64_t kRetryPauseUs = 100'000;
-constexpr std::uint64_t kLatestDuplicateUs = 500'000;
-/// An idle connection that the server closes while a request is being sent
-/// breaks this soon; the request never reached the server's work.
-constexpr std::int64_t kCloseRaceUs = 10'000;
+constexpr std::int64_t kRequestsPerSession = 32;
+constexpr int kMaxAttempts = 4;
+constexpr std::int64_t kRetryDelayUs = 100'000;
+constexpr std::uint64_t kMaxDuplicateDelayUs = 500'000;
+/// When the server closes an idle connection while a request is being sent, the
+/// error arrives within this time; the server has not processed the request.
+constexpr std::int64_t kIdleCloseRaceUs = 10'000;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   int attempts = 0;
   int open = 0;
   bool duplicated = false;
-  bool counted = false;
+  bool answer_counted = false;
   std::size_t last_target = 0;
 };
 
@@ -42,7 +42,7 @@
   SoupMessage* message = nullptr;
   GInputStream* input = nullptr;
   GCancellable* cancel = nullptr;
-  Timers::Id patience{};
+  Timers::Id timeout_timer{};
   Timers::Id cancel_timer{};
   bool events = false;
   bool finished = false;
@@ -58,7 +58,7 @@
   ~Exchange() {
     if (message != nullptr) g_object_unref(message);
     if (input != nullptr) {
-      // Only a closed stream gives its connection back for reuse.
+      // libsoup reuses the connection only after the stream is closed.
       g_input_stream_close(input, nullptr, nullptr);
       g_object_unref(input);
     }
@@ -98,7 +98,7 @@
 void LoadWorker::Run() {
   g_main_context_push_thread_default(context_);
   timers_ = std::make_unique<Timers>(context_);
-  const std::int64_t count = concurrency_ / kCallsPerSession + 1;
+  const std::int64_t count = concurrency_ / kRequestsPerSession + 1;
   for (std::int64_t i = 0; i < count; ++i) {
     SoupSession* session = soup_session_new_with_options(
         "max-conns", 100'000, "max-conns-per-host", 100'000, "timeout", 0,
@@ -112,8 +112,9 @@
   } else {
     for (std::int64_t i = 0; i < concurrency_ && !Ended(); ++i) StartRequest();
   }
-  WatchForEnd();
-  while (open_ > 0 || !Ended()) g_main_context_iteration(context_, TRUE);
+  ScheduleEndCheck();
+  while (open_requests_ > 0 || !Ended())
+    g_main_context_iteration(context_, TRUE);
   totals_.seconds = ToSeconds(Duration(Elapsed()));
   for (SoupSession* session : sessions_) {
     soup_session_abort(session);
@@ -124,23 +125,23 @@
   g_main_context_pop_thread_default(context_);
 }
 
-void LoadWorker::WatchForEnd() {
+void LoadWorker::ScheduleEndCheck() {
   constexpr std::int64_t kPeriodUs = 50'000;
-  timers_->Schedule(Timers::Now() + kPeriodUs, [this] { WatchForEnd(); });
+  timers_->Schedule(Timers::Now() + kPeriodUs, [this] { ScheduleEndCheck(); });
 }
 
 void LoadWorker::OnArrival() {
   const double rate = plan_.rate / static_cast<double>(plan_.workers);
   const std::int64_t now = Timers::Now();
-  std::exponential_distribution<double> pauses(rate);
+  std::exponential_distribution<double> intervals(rate);
   while (next_arrival_us_ <= now && !Ended()) {
-    next_arrival_us_ +=
-        static_cast<std::int64_t>(pauses(random_.engine()) * kMicrosPerSecond);
-    if (open_ < concurrency_) {
+    next_arrival_us_ += static_cast<std::int64_t>(intervals(random_.engine()) *
+                                                  kMicrosPerSecond);
+    if (open_requests_ < concurrency_) {
       StartRequest();
       continue;
     }
-    ++waiting_;
+    ++waiting_arrivals_;
     ++totals_.held_back;
   }
   if (Ended()) return;
@@ -149,7 +150,7 @@
 
 void LoadWorker::StartRequest() {
   --requests_left_;
-  ++open_;
+  ++open_requests_;
   ++progress_.offered;
   ++progress_.open;
   auto request = std::make_shared<Request>();
@@ -189,8 +190,8 @@
           ? "/call"
           : plan_.plain_prefix + plan.service->name + "/call";
   exchange->message = soup_message_new("POST", (target.url + path).c_str());
-  // Without this flag libsoup opens a connection for each POST. It sends no
-  // POST twice on its own, with the flag or without.
+  // Without this flag libsoup opens a new connection for each POST. It never
+  // resends a POST on its own, with the flag or without.
   soup_message_add_flags(exchange->message, SOUP_MESSAGE_IDEMPOTENT);
   SoupMessageHeaders* headers =
       soup_message_get_request_headers(exchange->message);
@@ -220,8 +221,8 @@
   const std::weak_ptr<Exchange> weak = exchange;
   const std::int64_t now = Timers::Now();
   const std::shared_ptr<Request>& request = exchange->request;
-  exchange->patience =
-      timers_->Schedule(now + plan_.patience_ms * 1000, [this, weak] {
+  exchange->timeout_timer =
+      timers_->Schedule(now + plan_.timeout_ms * 1000, [this, weak] {
         if (const ExchangePtr late = weak.lock())
           Close(late, Outcome::kTimedOut);
       });
@@ -235,11 +236,11 @@
     return;
   }
   if (!request->plan.retries || request->duplicated) return;
-  // Half of the retrying callers give the first attempt up, the others leave
-  // it open beside the second.
+  // Half of the retrying callers abandon the first attempt; the others leave it
+  // open while the second one runs.
   const bool gives_up = random_.Chance(0.5);
   exchange->cancel_timer = timers_->Schedule(
-      now + static_cast<std::int64_t>(random_.Below(kLatestDuplicateUs)),
+      now + static_cast<std::int64_t>(random_.Below(kMaxDuplicateDelayUs)),
       [this, weak, request, gives_up] {
         const ExchangePtr open = weak.lock();
         if (!open || open->ended || request->duplicated) return;
@@ -268,7 +269,7 @@
     return;
   }
   if (exchange->input == nullptr) {
-    return exchange->worker->OnBreak(exchange, error);
+    return exchange->worker->OnConnectionError(exchange, error);
   }
   exchange->record.status =
       static_cast<int>(soup_message_get_status(exchange->message));
@@ -283,11 +284,12 @@
 void LoadWorker::Read(const ExchangePtr& exchange) {
   g_input_stream_read_async(exchange->input, exchange->buffer,
                             sizeof(exchange->buffer), G_PRIORITY_DEFAULT,
-                            exchange->cancel, &LoadWorker::OnBytes,
+                            exchange->cancel, &LoadWorker::OnBodyData,
                             new ExchangePtr(exchange));
 }
 
-void LoadWorker::OnBytes(GObject* source, GAsyncResult* result, gpointer data) {
+void LoadWorker::OnBodyData(GObject* source, GAsyncResult* result,
+                            gpointer data) {
   const std::unique_ptr<ExchangePtr> holder(static_cast<ExchangePtr*>(data));
   const ExchangePtr& exchange = *holder;
   LoadWorker& worker = *exchange->worker;
@@ -298,7 +300,7 @@
     g_clear_error(&error);
     return;
   }
-  if (size < 0) return worker.OnBreak(exchange, error);
+  if (size < 0) return worker.OnConnectionError(exchange, error);
   if (size == 0) return worker.OnEndOfBody(exchange);
   exchange->pending.append(exchange->buffer, static_cast<std::size_t>(size));
   if (exchange->events) {
@@ -327,7 +329,7 @@
   }
   const json event = json::parse(data, nullptr, false);
   if (!event.is_object()) return OnText(exchange, data);
-  if (event.contains("error")) return ReadError(event["error"], exchange);
+  if (event.contains("error")) return ParseError(event["error"], exchange);
   const auto choices = event.find("choices");
   if (choices == event.end() || !choices->is_array() || choices->empty()) {
     return;
@@ -362,7 +364,7 @@
     const bool whole = exchange->finished && exchange->done;
     return End(exchange, whole ? Outcome::kAnswered : Outcome::kCut);
   }
-  ReadWhole(*exchange);
+  ParseWholeAnswer(*exchange);
   if (exchange->record.status == SOUP_STATUS_OK) {
     const bool answered = exchange->finished && !exchange->record.stream;
     return End(exchange, answered ? Outcome::kAnswered : Outcome::kMalformed);
@@ -370,10 +372,10 @@
   End(exchange, exchange->in_error ? Outcome::kRefused : Outcome::kMalformed);
 }
 
-void LoadWorker::ReadWhole(Exchange& exchange) {
+void LoadWorker::ParseWholeAnswer(Exchange& exchange) {
   const json body = json::parse(exchange.pending, nullptr, false);
   if (!body.is_object()) return;
-  if (body.contains("error")) return ReadError(body["error"], exchange);
+  if (body.contains("error")) return ParseError(body["error"], exchange);
   if (exchange.record.plain) {
     exchange.record.answer = body.value("body_hash", "");
     exchange.finished = true;
@@ -387,7 +389,7 @@
   exchange.finished = true;
 }
 
-void LoadWorker::ReadError(const json& error, Exchange& exchange) {
+void LoadWorker::ParseError(const json& error, Exchange& exchange) {
   if (!error.is_object()) return;
   exchange.in_error = true;
   const auto not_run = error.find("not_run");
@@ -401,11 +403,11 @@
   }
 }
 
-void LoadWorker::OnBreak(const ExchangePtr& exchange, GError* error) {
+void LoadWorker::OnConnectionError(const ExchangePtr& exchange, GError* error) {
   const bool refused =
       g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
   const bool race = exchange->record.status == 0 &&
-                    Elapsed() - exchange->record.sent_us < kCloseRaceUs;
+                    Elapsed() - exchange->record.sent_us < kIdleCloseRaceUs;
   exchange->record.code = error->message;
   g_clear_error(&error);
   End(exchange, refused || race ? Outcome::kUnreachable : Outcome::kBroken);
@@ -413,7 +415,7 @@
 
 void LoadWorker::End(const ExchangePtr& exchange, Outcome outcome) {
   exchange->ended = true;
-  timers_->Cancel(exchange->patience);
+  timers_->Cancel(exchange->timeout_timer);
   timers_->Cancel(exchange->cancel_timer);
   exchange->record.end_us = Elapsed();
   exchange->record.outcome = outcome;
@@ -421,12 +423,12 @@
     exchange->record.answer = EncodeAnswer(exchange->text);
   }
   history_.Add(FormatAttempt(exchange->record));
-  Count(*exchange);
+  UpdateTotals(*exchange);
   --exchange->request->open;
   AfterAttempt(exchange->request, outcome);
 }
 
-void LoadWorker::Count(Exchange& exchange) {
+void LoadWorker::UpdateTotals(Exchange& exchange) {
   const Attempt& record = exchange.record;
   ServiceTotals& totals = totals_.services[record.service];
   switch (record.outcome) {
@@ -442,7 +444,7 @@
       ++totals.failed;
       return;
     case Outcome::kCancelled:
-      // A caller that gave up and retries is still waiting.
+      // A caller that abandoned an attempt and retries is still waiting.
       if (!exchange.request->plan.retries) ++totals.cancelled;
       return;
     case Outcome::kUnreachable:
@@ -456,8 +458,8 @@
       return;
   }
   totals.whole.Record(record.end_us - record.sent_us);
-  if (exchange.request->counted) return;
-  exchange.request->counted = true;
+  if (exchange.request->answer_counted) return;
+  exchange.request->answer_counted = true;
   ++totals.answered;
   ++progress_.answered;
   const ServiceLoad& service = *exchange.request->plan.service;
@@ -474,7 +476,7 @@
           ? 0
           : static_cast<double>(exchange.last_token_us - record.first_us) /
                 1e3 / static_cast<double>(exchange.tokens - 1);
-  // The first token of a whole answer can't be seen.
+  // The time of the first token of a non-streamed answer is unknown.
   const bool first_seen = record.stream || record.plain;
   const bool first_on_time =
       !first_seen || within(first, service.first_token_ms);
@@ -489,22 +491,23 @@
                     outcome == Outcome::kTimedOut || outcome == Outcome::kCut;
   const bool retry =
       outcome == Outcome::kUnreachable || (lost && request->plan.retries);
-  if (retry && request->attempts < kMostAttempts && request->open == 0) {
+  if (retry && request->attempts < kMaxAttempts && request->open == 0) {
     ++request->last_target;
     ++request->open;
-    timers_->Schedule(Timers::Now() + kRetryPauseUs, [this, request] {
+    timers_->Schedule(Timers::Now() + kRetryDelayUs, [this, request] {
       --request->open;
       StartAttempt(request);
     });
     return;
   }
   if (request->open > 0) return;
-  --open_;
+  --open_requests_;
   --progress_.open;
   const bool closed_loop = plan_.rate == 0;
-  if (Ended() || (!closed_loop && waiting_ == 0)) return;
-  if (!closed_loop) --waiting_;
-  // In a later turn, so that calls that fail at once don't recurse.
+  if (Ended() || (!closed_loop && waiting_arrivals_ == 0)) return;
+  if (!closed_loop) --waiting_arrivals_;
+  // Deferred to a later main loop iteration, so that requests that fail at once
+  // don't recurse.
   timers_->Schedule(Timers::Now(), [this] {
     if (!Ended()) StartRequest();
   });
--- a/tools/load/load_worker.h
+++ b/tools/load/load_worker.h
@@ -1,4 +1,4 @@
-// One thread of callers.
+// One thread that simulates callers.
 #ifndef TOOLS_LOAD_LOAD_WORKER_H_
 #define TOOLS_LOAD_LOAD_WORKER_H_
 
@@ -20,29 +20,29 @@
 
 namespace cassiausher {
 
-/// What all workers of a run share; constant while it runs.
+/// Configuration shared by all workers; constant during the run.
 struct LoadPlan {
   Workload workload;
   std::vector<Target> targets;
   std::string token;
-  /// Prefix of the paths of plain services; "NAME" follows it. Empty when a
-  /// stand-in is called directly.
+  /// Path prefix before the name of a plain service. Empty when a fake endpoint
+  /// is called directly.
   std::string plain_prefix;
   std::string run_name;
-  /// Requests per second in total; 0 means that each caller sends its next
-  /// request when the one before has ended.
+  /// Total requests per second; 0 means that each caller sends its next request
+  /// when the previous one has ended.
   double rate = 0;
   double seconds = 10;
   /// 0 means no limit.
   std::int64_t requests = 0;
   std::int64_t concurrency = 100;
-  std::int64_t patience_ms = 60'000;
+  std::int64_t timeout_ms = 60'000;
   std::int64_t workers = 1;
   /// g_get_monotonic_time() at the start.
   std::int64_t started_us = 0;
 };
 
-/// Counts for the progress line; safe from any thread.
+/// Counters for the progress line; thread-safe.
 struct LoadProgress {
   std::atomic<std::int64_t> offered{0};
   std::atomic<std::int64_t> open{0};
@@ -59,7 +59,7 @@
   LoadWorker(const LoadWorker&) = delete;
   LoadWorker& operator=(const LoadWorker&) = delete;
 
-  /// Returns when the last caller has left.
+  /// Returns when the last request has ended.
   void Run();
   const LoadTotals& totals() const { return totals_; }
 
@@ -70,8 +70,8 @@
 
   std::int64_t Elapsed() const;
   bool Ended() const;
-  /// Wakes the loop often enough to see the end of the run.
-  void WatchForEnd();
+  /// Wakes the main loop periodically, so that Run notices the end of the run.
+  void ScheduleEndCheck();
   void OnArrival();
   void StartRequest();
   void StartAttempt(const std::shared_ptr<Request>& request);
@@ -79,15 +79,15 @@
   void Close(const ExchangePtr& exchange, Outcome outcome);
   static void OnHeaders(GObject* source, GAsyncResult* result, gpointer data);
   void Read(const ExchangePtr& exchange);
-  static void OnBytes(GObject* source, GAsyncResult* result, gpointer data);
+  static void OnBodyData(GObject* source, GAsyncResult* result, gpointer data);
   void OnEvent(Exchange& exchange, std::string_view data);
   void OnText(Exchange& exchange, std::string_view text);
   void OnEndOfBody(const ExchangePtr& exchange);
-  void OnBreak(const ExchangePtr& exchange, GError* error);
-  void ReadWhole(Exchange& exchange);
-  void ReadError(const nlohmann::json& error, Exchange& exchange);
+  void OnConnectionError(const ExchangePtr& exchange, GError* error);
+  void ParseWholeAnswer(Exchange& exchange);
+  void ParseError(const nlohmann::json& error, Exchange& exchange);
   void End(const ExchangePtr& exchange, Outcome outcome);
-  void Count(Exchange& exchange);
+  void UpdateTotals(Exchange& exchange);
   void AfterAttempt(const std::shared_ptr<Request>& request, Outcome outcome);
 
   const LoadPlan& plan_;
@@ -102,9 +102,9 @@
   std::int64_t next_arrival_us_ = 0;
   std::int64_t requests_left_;
   std::int64_t concurrency_;
-  std::int64_t open_ = 0;
-  /// Arrivals that wait for a caller to become free.
-  std::int64_t waiting_ = 0;
+  std::int64_t open_requests_ = 0;
+  /// Arrivals waiting for a free caller.
+  std::int64_t waiting_arrivals_ = 0;
   LoadTotals totals_;
 };
 
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -21,8 +21,8 @@
 
 constexpr char kUsage[] = R"(cassiausher_load - load and history tool
 
-Runs concurrent callers against a live deployment, records what they saw and
-holds the record against the invariants of the design page.
+Runs concurrent callers against a live deployment, records their answers
+and checks the record against the invariants of the design page.
 
 Usage:
   cassiausher_load check HISTORY [options]
@@ -33,46 +33,48 @@
 
 Options:
   --addresses FILE          addresses.json of the deployment.
-  --url URL                 Stand-in to call directly.
-  --service NAME            Its service [default: service].
-  --plain                   It is a plain service.
+  --url URL                 Fake endpoint to call directly.
+  --service NAME            Service of the endpoint [default: service].
+  --plain                   The endpoint is a plain service.
   --token-file FILE         File with the callers' bearer token.
-  --rate R                  Requests per second, with exponential pauses; 0
+  --rate R                  Requests per second, with Poisson arrivals; 0
                             keeps every caller busy [default: 0].
-  --seconds S               Time in which requests start [default: 10].
-  --requests N              Requests at most, 0 for no limit [default: 0].
-  --concurrency C           Callers at once [default: 100].
-  --threads N               Threads of the tool [default: 4].
+  --seconds S               Time during which requests start [default: 10].
+  --requests N              Maximum number of requests, 0 for no limit
+                            [default: 0].
+  --concurrency C           Concurrent callers [default: 100].
+  --threads N               Worker threads [default: 4].
   --mix MIX                 SERVICE=SHARE,... of engine and plain services;
                             equal shares of all services when left out.
   --prompt-tokens PAIRS     Median and sigma of the log-normal prompt length,
                             as MEDIAN,SIGMA for all services or
                             SERVICE=MEDIAN:SIGMA,... [default: 200,0.5].
-  --max-tokens N            Limit of an answer [default: 200].
-  --cancel-share P          Share of callers that leave early [default: 0].
-  --retry-share P           Share of callers that try again at another
+  --max-tokens N            Maximum tokens of an answer [default: 200].
+  --cancel-share P          Fraction of callers that disconnect early
+                            [default: 0].
+  --retry-share P           Fraction of callers that retry at another
                             instance with the same key [default: 0].
-  --non-idempotent-share P  Share marked non-idempotent [default: 0].
-  --stream-share P          Share of streamed answers [default: 1].
-  --seed N                  Seed of all draws [default: 1].
-  --patience-ms MS          A caller leaves after this time; the answer counts
-                            as lost [default: 60000].
+  --non-idempotent-share P  Fraction marked non-idempotent [default: 0].
+  --stream-share P          Fraction of streamed answers [default: 1].
+  --seed N                  Random seed [default: 1].
+  --patience-ms MS          Timeout of a caller; the answer counts as lost
+                            [default: 60000].
   --targets PAIRS           Targets for the first token and between tokens in
                             ms, as FIRST,BETWEEN or SERVICE=FIRST:BETWEEN,...;
-                            0 is no target [default: 0,0].
+                            0 means no target [default: 0,0].
   --history FILE            Writes the history.
   --check                   Checks the history after the run.
-  --settle-ms MS            Pause before the endpoints' states are read
+  --settle-ms MS            Delay before the endpoints' states are read
                             [default: 5000].
   --endpoints-state FILE    JSON array of /fake/state objects, read 5 s or more
-                            after the last caller left.
+                            after the last caller disconnected.
   --faults FILE             Fault records of scripts/faults.py.
   --format FORMAT           text or json [default: text].
   -h --help                 Show this page.
   --version                 Show the version.
 
 Exit codes: 0 success; 1 a violation, an incomplete history or a failed run;
-2 options out of range, all of them named at once.
+2 invalid options, all reported at once.
 )";
 
 constexpr int kExitUsage = 2;
@@ -105,12 +107,13 @@
 }
 
 void ReadStates(const std::string& path, History* history, Findings* findings) {
-  constexpr std::int64_t kAssumedMs = 5000;
+  constexpr std::int64_t kAssumedStatesAfterMs = 5000;
   std::ifstream file(path);
   const json states = json::parse(file, nullptr, false);
-  if (!states.is_array()) return findings->Add(path, "is no JSON array");
+  if (!states.is_array()) return findings->Add(path, "is not a JSON array");
   for (const json& state : states) history->states.push_back(state);
-  history->states_after_ms = std::max(history->states_after_ms, kAssumedMs);
+  history->states_after_ms =
+      std::max(history->states_after_ms, kAssumedStatesAfterMs);
 }
 
 /// Reads and checks a history. `report` gets the counts and excerpts.
@@ -165,7 +168,7 @@
 
 void ReadWorkload(OptionReader& reader, const Addresses& addresses,
                   Workload* workload) {
-  constexpr std::int64_t kMostTokens = 1'000'000;
+  constexpr std::int64_t kMaxTokens = 1'000'000;
   Findings findings;
   ParseMix(reader.Text("--mix"), addresses, workload, &findings);
   ParsePairs(
@@ -185,7 +188,7 @@
   for (const Finding& finding : findings.items()) {
     reader.AddFinding(finding.place, finding.message);
   }
-  workload->max_tokens = reader.Integer("--max-tokens", 1, kMostTokens);
+  workload->max_tokens = reader.Integer("--max-tokens", 1, kMaxTokens);
   workload->cancel_share = reader.Number("--cancel-share", 0, 1);
   workload->retry_share = reader.Number("--retry-share", 0, 1);
   workload->non_idempotent_share =
@@ -196,11 +199,11 @@
 }
 
 RunOptions ReadRunOptions(OptionReader& reader) {
-  constexpr double kHighestRate = 1e6;
-  constexpr double kLongestSeconds = 1e6;
-  constexpr std::int64_t kMostCallers = 100'000;
-  constexpr std::int64_t kMostThreads = 64;
-  constexpr std::int64_t kLongestMs = 3'600'000;
+  constexpr double kMaxRate = 1e6;
+  constexpr double kMaxSeconds = 1e6;
+  constexpr std::int64_t kMaxCallers = 100'000;
+  constexpr std::int64_t kMaxThreads = 64;
+  constexpr std::int64_t kMaxDurationMs = 3'600'000;
   RunOptions options;
   LoadPlan& plan = options.plan;
   Addresses addresses;
@@ -222,14 +225,14 @@
   plan.targets = addresses.instances;
   options.endpoints = addresses.endpoints;
   plan.token = ReadToken(reader);
-  plan.rate = reader.Number("--rate", 0, kHighestRate);
-  plan.seconds = reader.Number("--seconds", 0, kLongestSeconds);
+  plan.rate = reader.Number("--rate", 0, kMaxRate);
+  plan.seconds = reader.Number("--seconds", 0, kMaxSeconds);
   plan.requests = reader.Integer("--requests", 0, INT64_MAX);
-  plan.concurrency = reader.Integer("--concurrency", 1, kMostCallers);
+  plan.concurrency = reader.Integer("--concurrency", 1, kMaxCallers);
   plan.workers =
-      std::min(reader.Integer("--threads", 1, kMostThreads), plan.concurrency);
-  plan.patience_ms = reader.Integer("--patience-ms", 1, kLongestMs);
-  options.settle_ms = reader.Integer("--settle-ms", 0, kLongestMs);
+      std::min(reader.Integer("--threads", 1, kMaxThreads), plan.concurrency);
+  plan.timeout_ms = reader.Integer("--patience-ms", 1, kMaxDurationMs);
+  options.settle_ms = reader.Integer("--settle-ms", 0, kMaxDurationMs);
   options.history_path = reader.Text("--history");
   options.faults_path = reader.Text("--faults");
   options.show_progress = isatty(STDERR_FILENO) == 1;
--- a/tools/load/silent_relay/main.cc
+++ b/tools/load/silent_relay/main.cc
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(cassiausher_relay - TCP relay that forgets connections
+    R"(cassiausher_relay - TCP relay that can silence connections
 
-Passes bytes between its callers and one target. On SIGUSR1 the connections
-that are open then stay open, but pass nothing any more; new ones work.
+Forwards bytes between its callers and one target. On SIGUSR1 all open
+connections stay open but forward nothing more; new connections work.
 
 Usage:
   cassiausher_relay --listen ADDRESS --to ADDRESS
@@ -27,7 +27,7 @@
   cassiausher_relay --version
 
 Options:
-  --listen ADDRESS  Numeric address and port; port 0 takes a free one.
+  --listen ADDRESS  Numeric address and port; port 0 picks a free one.
   --to ADDRESS      Address and port of the target.
   -h --help         Show this page.
   --version         Show the version.
@@ -49,7 +49,8 @@
   g_unix_signal_add(
       SIGUSR1,
       [](gpointer data) -> gboolean {
-        const int count = static_cast<SilentRelay*>(data)->ForgetOpen();
+        const int count =
+            static_cast<SilentRelay*>(data)->SilenceOpenConnections();
         Log(LogLevel::kInfo, "connections_forgotten", {{"count", count}});
         return G_SOURCE_CONTINUE;
       },
--- a/tools/load/silent_relay/silent_relay.cc
+++ b/tools/load/silent_relay/silent_relay.cc
@@ -17,9 +17,9 @@
     g_clear_object(&cancel);
   }
 
-  /// Each direction keeps the link until its own end.
-  static void Pass(const std::shared_ptr<Link>& link, GSocketConnection* from,
-                   GSocketConnection* to) {
+  /// Forwards one direction. Each direction keeps the link alive until it ends.
+  static void Forward(const std::shared_ptr<Link>& link,
+                      GSocketConnection* from, GSocketConnection* to) {
     g_output_stream_splice_async(
         g_io_stream_get_output_stream(G_IO_STREAM(to)),
         g_io_stream_get_input_stream(G_IO_STREAM(from)),
@@ -30,7 +30,7 @@
           const Link& ended = **kept;
           g_output_stream_splice_finish(G_OUTPUT_STREAM(source), result,
                                         nullptr);
-          // A cancelled link is forgotten or closed already.
+          // A cancelled link has already been silenced or closed.
           if (g_cancellable_is_cancelled(ended.cancel)) return;
           ended.relay->Close(*kept);
         },
@@ -46,8 +46,9 @@
     g_object_unref(service_);
   }
   for (const auto& link : open_) g_cancellable_cancel(link->cancel);
-  constexpr int kTurns = 100;
-  for (int i = 0; i < kTurns && g_main_context_iteration(nullptr, FALSE); ++i) {
+  constexpr int kMaxIterations = 100;
+  for (int i = 0;
+       i < kMaxIterations && g_main_context_iteration(nullptr, FALSE); ++i) {
   }
 }
 
@@ -64,7 +65,7 @@
       g_network_address_get_hostname(G_NETWORK_ADDRESS(address)),
       g_network_address_get_port(G_NETWORK_ADDRESS(address)));
   g_object_unref(address);
-  if (local == nullptr) return "no numeric IP address";
+  if (local == nullptr) return "address is not a numeric IP address";
   service_ = g_socket_service_new();
   GSocketAddress* bound = nullptr;
   const bool listening = g_socket_listener_add_address(
@@ -88,17 +89,17 @@
   return {};
 }
 
-int SilentRelay::ForgetOpen() {
+int SilentRelay::SilenceOpenConnections() {
   const auto count = static_cast<int>(open_.size());
   for (const auto& link : open_) g_cancellable_cancel(link->cancel);
-  forgotten_.splice(forgotten_.end(), open_);
+  silenced_.splice(silenced_.end(), open_);
   return count;
 }
 
 void SilentRelay::Accept(GSocketConnection* caller) {
   GSocketClient* client = g_socket_client_new();
   g_socket_client_set_enable_proxy(client, FALSE);
-  // Loopback connects at once or fails at once.
+  // Blocks; on loopback, connecting succeeds or fails at once.
   GSocketConnection* target = g_socket_client_connect_to_host(
       client, target_.c_str(), 0, nullptr, nullptr);
   g_object_unref(client);
@@ -107,8 +108,8 @@
   link->relay = this;
   link->caller = static_cast<GSocketConnection*>(g_object_ref(caller));
   link->target = target;
-  Link::Pass(link, caller, target);
-  Link::Pass(link, target, caller);
+  Link::Forward(link, caller, target);
+  Link::Forward(link, target, caller);
   open_.push_back(link);
 }
 
--- a/tools/load/silent_relay/silent_relay.h
+++ b/tools/load/silent_relay/silent_relay.h
@@ -1,5 +1,5 @@
-// TCP relay that can forget its open connections: they stay open and pass
-// nothing any more, while new ones work.
+// TCP relay that can silence its open connections: they stay open but forward
+// nothing more, while new connections work.
 #ifndef TOOLS_LOAD_SILENT_RELAY_SILENT_RELAY_H_
 #define TOOLS_LOAD_SILENT_RELAY_SILENT_RELAY_H_
 
@@ -12,7 +12,8 @@
 
 namespace cassiausher {
 
-/// Used on one thread with one GLib main context, the thread's default.
+/// Not thread-safe: create and use it on one thread. It runs on the thread's
+/// default GLib main context.
 class SilentRelay {
  public:
   /// `target` is ADDRESS:PORT.
@@ -21,13 +22,14 @@
   SilentRelay(const SilentRelay&) = delete;
   SilentRelay& operator=(const SilentRelay&) = delete;
 
-  /// `listen` is ADDRESS:PORT; port 0 takes a free one. Returns the reason of
-  /// a failure, or empty.
+  /// `listen` is ADDRESS:PORT; port 0 picks a free one. Returns an error
+  /// message, or an empty string on success.
   std::string Start(const std::string& listen);
   std::uint16_t port() const { return port_; }
 
-  /// Returns the number of connections that are silent from now on.
-  int ForgetOpen();
+  /// Stops forwarding on all open connections without closing them. Returns
+  /// their number.
+  int SilenceOpenConnections();
 
  private:
   struct Link;
@@ -38,8 +40,8 @@
   GSocketService* service_ = nullptr;
   std::uint16_t port_ = 0;
   std::list<std::shared_ptr<Link>> open_;
-  /// Held until the relay ends, so that the connections stay open.
-  std::list<std::shared_ptr<Link>> forgotten_;
+  /// Kept until the relay is destroyed, so that the connections stay open.
+  std::list<std::shared_ptr<Link>> silenced_;
 };
 
 }  // namespace cassiausher
--- a/tools/load/workload.cc
+++ b/tools/load/workload.cc
@@ -17,14 +17,14 @@
 
 using nlohmann::json;
 
-/// Bound on prompts, so that the tail of the distribution stays below the
-/// usual limit of a body.
-constexpr double kLongestPrompt = 200'000;
+/// Limits the tail of the prompt length distribution, so that requests stay
+/// below the usual body size limit.
+constexpr double kMaxPromptTokens = 200'000;
 constexpr std::size_t kCharactersPerToken = 4;
-/// Share of the prompts that start with one of a few common prefixes.
+/// Fraction of prompts that start with one of kSharedPrefixCount prefixes.
 constexpr double kSharedPrefixShare = 0.3;
-constexpr std::uint64_t kSharedPrefixes = 8;
-constexpr std::size_t kPrefixLength = 2048;
+constexpr std::uint64_t kSharedPrefixCount = 8;
+constexpr std::size_t kSharedPrefixBytes = 2048;
 
 bool ParseNumber(const std::string& text, double* value) {
   char* end = nullptr;
@@ -41,13 +41,13 @@
   return targets;
 }
 
-/// Letters that follow one another, with no shared prefix between two starts.
-const std::string& Filler() {
+/// Text of numbered words that fills prompts up to their length.
+const std::string& FillerText() {
   static const std::string& filler = *new std::string([] {
     std::string text;
     const std::size_t size =
-        static_cast<std::size_t>(kLongestPrompt) * kCharactersPerToken +
-        kSharedPrefixes;
+        static_cast<std::size_t>(kMaxPromptTokens) * kCharactersPerToken +
+        kSharedPrefixCount;
     text.reserve(size);
     for (std::size_t word = 0; text.size() < size; ++word) {
       text += fmt::format("word{} ", word);
@@ -61,18 +61,19 @@
                        Random& random) {
   std::lognormal_distribution<double> lengths(std::log(service.prompt_median),
                                               service.prompt_sigma);
-  const double tokens = std::min(lengths(random.engine()), kLongestPrompt);
+  const double tokens = std::min(lengths(random.engine()), kMaxPromptTokens);
   const auto size =
       static_cast<std::size_t>(std::max(tokens, 1.0)) * kCharactersPerToken;
   std::string prompt;
-  if (size > kPrefixLength && random.Chance(kSharedPrefixShare)) {
-    const std::uint64_t prefix = random.Below(kSharedPrefixes);
+  if (size > kSharedPrefixBytes && random.Chance(kSharedPrefixShare)) {
+    const std::uint64_t prefix = random.Below(kSharedPrefixCount);
     prompt = fmt::format("prefix {} ", prefix);
-    prompt.append(Filler(), 0, kPrefixLength - prompt.size());
+    prompt.append(FillerText(), 0, kSharedPrefixBytes - prompt.size());
   }
   prompt += id;
   prompt += ' ';
-  if (prompt.size() < size) prompt.append(Filler(), 0, size - prompt.size());
+  if (prompt.size() < size)
+    prompt.append(FillerText(), 0, size - prompt.size());
   return prompt;
 }
 
@@ -88,15 +89,15 @@
 }
 
 void DrawCancel(PlannedRequest* request, Random& random) {
-  constexpr std::uint64_t kLatestCancelUs = 500'000;
-  constexpr std::uint64_t kMostTokens = 30;
+  constexpr std::uint64_t kMaxCancelDelayUs = 500'000;
+  constexpr std::uint64_t kMaxCancelTokens = 30;
   if (request->stream && random.Chance(0.5)) {
     request->cancel_after_tokens =
-        static_cast<std::int64_t>(1 + random.Below(kMostTokens));
+        static_cast<std::int64_t>(1 + random.Below(kMaxCancelTokens));
     return;
   }
   request->cancel_after_us =
-      static_cast<std::int64_t>(random.Below(kLatestCancelUs));
+      static_cast<std::int64_t>(random.Below(kMaxCancelDelayUs));
 }
 
 }  // namespace
@@ -124,8 +125,8 @@
     findings->Add(path, error.what());
     return addresses;
   }
-  if (addresses.instances.empty()) findings->Add(path, "names no instance");
-  if (addresses.services.empty()) findings->Add(path, "names no service");
+  if (addresses.instances.empty()) findings->Add(path, "contains no instances");
+  if (addresses.services.empty()) findings->Add(path, "contains no services");
   return addresses;
 }
 
@@ -144,7 +145,7 @@
     ServiceLoad load{.name = name};
     if (equals == std::string::npos ||
         !ParseNumber(part.substr(equals + 1), &load.share) || load.share == 0) {
-      findings->Add("--mix", "'" + part + "' is no SERVICE=SHARE");
+      findings->Add("--mix", "'" + part + "' is not SERVICE=SHARE");
       continue;
     }
     const auto service = std::find_if(
@@ -176,7 +177,7 @@
     if (middle == std::string::npos ||
         !ParseNumber(pair.substr(0, middle), &first) ||
         !ParseNumber(pair.substr(middle + 1), &second)) {
-      findings->Add(option, "'" + part + "' is no A,B and no SERVICE=A:B");
+      findings->Add(option, "'" + part + "' is neither A,B nor SERVICE=A:B");
       continue;
     }
     bool found = false;
--- a/tools/load/workload.h
+++ b/tools/load/workload.h
@@ -1,4 +1,4 @@
-// What the callers of a load run ask for, and of whom.
+// The requests of a load run and their targets.
 #ifndef TOOLS_LOAD_WORKLOAD_H_
 #define TOOLS_LOAD_WORKLOAD_H_
 
@@ -30,7 +30,7 @@
 
 Addresses ReadAddresses(const std::string& path, Findings* findings);
 
-/// The share of one service in the load, with its prompts and targets.
+/// One service's share of the load, its prompt lengths and latency targets.
 struct ServiceLoad {
   std::string name;
   bool plain = false;
@@ -53,36 +53,36 @@
   std::uint64_t seed = 1;
 };
 
-/// Reads `SERVICE=SHARE,…` into `workload`; empty means equal shares of all
+/// Parses `SERVICE=SHARE,…` into `workload`; empty means equal shares for all
 /// services.
 void ParseMix(const std::string& text, const Addresses& addresses,
               Workload* workload, Findings* findings);
 
-/// Reads `A,B` for all services, or `SERVICE=A:B,…`, and hands each service
-/// its pair through `set`.
+/// Parses `A,B` for all services, or `SERVICE=A:B,…`, and calls `set` with each
+/// service and its pair.
 void ParsePairs(const std::string& option, const std::string& text,
                 void (*set)(ServiceLoad& service, double first, double second),
                 Workload* workload, Findings* findings);
 
-/// One request as a caller decides on it.
+/// One generated request and the caller's behaviour.
 struct PlannedRequest {
   std::string id;
   std::string key;
   const ServiceLoad* service = nullptr;
-  /// JSON body and the hash that the answer must bear.
+  /// JSON body, and the hash that the answer must contain.
   std::string body;
   std::uint32_t text_hash = 0;
   bool stream = false;
   bool idempotent = true;
   bool retries = false;
-  /// The caller closes after this time; -1 means never.
+  /// The caller disconnects after this time; -1 means never.
   std::int64_t cancel_after_us = -1;
-  /// The caller closes after this many tokens; 0 means never.
+  /// The caller disconnects after this many tokens; 0 means never.
   std::int64_t cancel_after_tokens = 0;
 };
 
-/// Draws the request number `number` of a run. Ids are unique in the run, and
-/// between runs with different `run` names.
+/// Generates the request number `number` of a run. Ids are unique in the run,
+/// and between runs with different `run` names.
 PlannedRequest PlanRequest(const Workload& workload, const std::string& run,
                            std::int64_t number, Random& random);
 
