--- a/tests/tools/checker_test.cc
+++ b/tests/tools/checker_test.cc
@@ -1,5 +1,5 @@
-// Guards against a checker that passes a broken run: each test hands it a
-// history that breaks one invariant.
+// Guards against a checker that misses a violation: each test checks a history
+// that breaks one invariant.
 #include "tools/load/checker.h"
 
 #include <CppUTest/TestHarness.h>
@@ -34,7 +34,7 @@
   return attempt;
 }
 
-/// One whole answer to each of two requests, each executed once.
+/// Two requests, each answered completely and executed once.
 History CleanHistory() {
   History history;
   history.complete = true;
@@ -55,108 +55,111 @@
 TEST_GROUP(Checker) {
   History history = CleanHistory();
 
-  void CheckNames(const char* invariant, const char* excerpt) {
+  void CheckViolation(const char* invariant, const char* message_part) {
     const std::vector<Violation> violations = CheckHistory(history);
     LONGS_EQUAL(1, violations.size());
     STRCMP_EQUAL(invariant, violations[0].invariant.c_str());
-    STRCMP_CONTAINS(excerpt, violations[0].message.c_str());
+    STRCMP_CONTAINS(message_part, violations[0].message.c_str());
   }
-  void CheckAnswer(const char* answer, const char* invariant,
-                   const char* excerpt) {
+  void CheckAnswerViolation(const char* answer, const char* invariant,
+                            const char* message_part) {
     history.attempts[0].answer = answer;
-    CheckNames(invariant, excerpt);
+    CheckViolation(invariant, message_part);
   }
 };
 
-TEST(Checker, PassesACleanHistory) {
+TEST(Checker, CleanHistoryHasNoViolations) {
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, NamesMissingTokens) {
-  CheckAnswer("abcd0001:1-4,abcd0001:6-9.", "lost", "tokens 5 to 5");
+TEST(Checker, MissingTokensAreLost) {
+  CheckAnswerViolation("abcd0001:1-4,abcd0001:6-9.", "lost", "tokens 5 to 5");
 }
 
-TEST(Checker, NamesAMissingStart) {
-  CheckAnswer("abcd0001:2-9.", "lost", "tokens 1 to 1");
+TEST(Checker, MissingFirstTokenIsLost) {
+  CheckAnswerViolation("abcd0001:2-9.", "lost", "tokens 1 to 1");
 }
 
-TEST(Checker, NamesDoubledTokens) {
-  CheckAnswer("abcd0001:1-4,abcd0001:4-9.", "doubled", "token 4");
+TEST(Checker, RepeatedTokenIsDoubled) {
+  CheckAnswerViolation("abcd0001:1-4,abcd0001:4-9.", "doubled", "token 4");
 }
 
-TEST(Checker, NamesAnAnswerThatCameTwice) {
-  CheckAnswer("abcd0001:1-9.,abcd0001:1-9.", "doubled", "token 1");
+TEST(Checker, RepeatedAnswerIsDoubled) {
+  CheckAnswerViolation("abcd0001:1-9.,abcd0001:1-9.", "doubled", "token 1");
 }
 
-TEST(Checker, NamesMixedAnswers) {
-  CheckAnswer("abcd0001:1-4,abcd0002:5-5,abcd0001:6-9.", "mixed", "text of r2");
+TEST(Checker, TokensOfAnotherRequestAreMixed) {
+  CheckAnswerViolation("abcd0001:1-4,abcd0002:5-5,abcd0001:6-9.", "mixed",
+                       "text of r2");
 }
 
-TEST(Checker, NamesAnAnswerToAnotherRequest) {
-  CheckAnswer("abcd0002:1-3.", "other_request", "text of r2");
+TEST(Checker, AnswerToAnotherRequestIsReported) {
+  CheckAnswerViolation("abcd0002:1-3.", "other_request", "text of r2");
 }
 
-TEST(Checker, NamesACutText) {
-  CheckAnswer("abcd0001:1-8", "cut", "after token 8");
+TEST(Checker, TextWithoutLastTokenIsCut) {
+  CheckAnswerViolation("abcd0001:1-8", "cut", "after token 8");
 }
 
-TEST(Checker, NamesAnEmptyAnswer) { CheckAnswer("", "cut", "\"id\":\"r1\""); }
+TEST(Checker, EmptyAnswerIsCut) {
+  CheckAnswerViolation("", "cut", "\"id\":\"r1\"");
+}
 
-TEST(Checker, NamesForeignText) {
-  CheckAnswer("abcd0001:1-8!sorry", "malformed", "sorry");
+TEST(Checker, TextThatIsNotATokenIsMalformed) {
+  CheckAnswerViolation("abcd0001:1-8!sorry", "malformed", "sorry");
 }
 
-TEST(Checker, NamesAStreamWithoutItsEnd) {
+TEST(Checker, StreamWithoutEndMarkIsCut) {
   history.attempts[0].outcome = Outcome::kCut;
-  CheckNames("cut", "end mark");
+  CheckViolation("cut", "end mark");
 }
 
-TEST(Checker, NamesAnAnswerThatNeverCame) {
+TEST(Checker, TimedOutAttemptIsLost) {
   history.attempts[0].outcome = Outcome::kTimedOut;
   history.attempts[0].answer = "";
-  CheckNames("lost", "no answer came");
+  CheckViolation("lost", "no answer came");
 }
 
-TEST(Checker, NamesBrokenConnectionsUnlessTheInstanceWasKilled) {
+TEST(Checker, BrokenConnectionIsCutUnlessInstanceWasKilled) {
   history.attempts[0].outcome = Outcome::kBroken;
   history.attempts[0].answer = "abcd0001:1-3";
-  CheckNames("cut", "broke");
+  CheckViolation("cut", "broke");
   history.faults = {{"kill", "i2", 1'001'500, 0}};
-  CheckNames("cut", "broke");
+  CheckViolation("cut", "broke");
   history.faults = {{"kill", "i1", 1'090'000, 0}};
-  CheckNames("cut", "broke");
-  // A graceful stop cuts nothing off.
+  CheckViolation("cut", "broke");
+  // A graceful shutdown must not cut answers.
   history.faults = {{"term", "i1", 1'001'500, 0}};
-  CheckNames("cut", "broke");
+  CheckViolation("cut", "broke");
   history.faults = {{"kill", "i1", 1'001'500, 0}};
   LONGS_EQUAL(0, CheckHistory(history).size());
-  // The text until the kill must still be right.
-  CheckAnswer("abcd0001:1-3,abcd0001:5-5", "lost", "tokens 4 to 4");
+  // The text received before the kill must still be correct.
+  CheckAnswerViolation("abcd0001:1-3,abcd0001:5-5", "lost", "tokens 4 to 4");
 }
 
-TEST(Checker, NamesCutStreamsUnlessTheInstanceWasKilled) {
+TEST(Checker, CutStreamIsReportedUnlessInstanceWasKilled) {
   history.attempts[0].outcome = Outcome::kCut;
   history.attempts[0].answer = "abcd0001:1-3";
   history.faults = {{"term", "i1", 1'001'500, 0}};
-  CheckNames("cut", "end mark");
+  CheckViolation("cut", "end mark");
   history.faults = {{"kill", "i1", 1'001'500, 0}};
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, ChecksTheTextThatACancelledCallerGot) {
+TEST(Checker, TextOfCancelledAttemptIsChecked) {
   history.attempts[0].outcome = Outcome::kCancelled;
   history.attempts[0].answer = "abcd0001:1-4";
   LONGS_EQUAL(0, CheckHistory(history).size());
-  CheckAnswer("abcd0001:1-4,abcd0001:3-5", "doubled", "token 3");
+  CheckAnswerViolation("abcd0001:1-4,abcd0001:3-5", "doubled", "token 3");
 }
 
-TEST(Checker, NamesAnExecutionThatNotRunDenied) {
+TEST(Checker, ExecutionAfterNotRunTrueIsReported) {
   history.attempts[0].outcome = Outcome::kRefused;
   history.attempts[0].not_run = NotRun::kTrue;
-  CheckNames("not_run_but_executed", "\"id\":\"r1\"");
+  CheckViolation("not_run_but_executed", "\"id\":\"r1\"");
 }
 
-TEST(Checker, AllowsAnExecutionByAnotherAttemptOfTheKey) {
+TEST(Checker, ExecutionByAnotherAttemptOfSameKeyIsAllowed) {
   history.attempts[0].key = "k1";
   history.attempts.push_back(history.attempts[0]);
   history.attempts[0].outcome = Outcome::kRefused;
@@ -165,22 +168,22 @@
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, NamesANonIdempotentKeyThatRanTwice) {
+TEST(Checker, SecondExecutionOfNonIdempotentKeyIsReported) {
   history.attempts[0].key = "k1";
   history.attempts[0].idempotent = false;
   history.states[0]["executions"]["k1"] = 1;
   LONGS_EQUAL(0, CheckHistory(history).size());
-  // The second execution is at another endpoint.
+  // The second execution happens at another endpoint.
   history.states.push_back({{"name", "e2"}, {"executions", {{"k1", 1}}}});
-  CheckNames("executed_twice", "executed 2 times");
+  CheckViolation("executed_twice", "executed 2 times");
   history.attempts[0].idempotent = true;
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, NamesAnAnswerThatNoEndpointExecuted) {
+TEST(Checker, AnswerWithoutExecutionIsReported) {
   history.states[0]["executions"].erase("r1~i1~0~7");
-  CheckNames("unknown_execution", "\"id\":\"r1\"");
-  // The counts of an endpoint that ended are lost.
+  CheckViolation("unknown_execution", "\"id\":\"r1\"");
+  // The execution counts of an endpoint that exited are lost.
   history.faults = {{"kill", "e1", 1'001'500, 0}};
   LONGS_EQUAL(0, CheckHistory(history).size());
   history.faults.clear();
@@ -188,27 +191,27 @@
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, NamesHeldMemory) {
+TEST(Checker, MemoryHeldAfterLastCallerIsReported) {
   history.states[0]["held_kv_bytes"] = 4096;
-  CheckNames("held_memory", "e1 holds 0 sessions and 4096 bytes");
+  CheckViolation("held_memory", "e1 holds 0 sessions and 4096 bytes");
   history.states[0]["held_kv_bytes"] = 0;
   history.states[0]["held_sessions"] = 1;
-  CheckNames("held_memory", "e1 holds 1 sessions");
+  CheckViolation("held_memory", "e1 holds 1 sessions");
 }
 
-TEST(Checker, NamesWorkAfterADeparture) {
+TEST(Checker, NewWorkAfterDepartureIsReported) {
   history.states[0]["new_work_2s_after_departing"] = 3;
-  CheckNames("work_after_departure", "e1 got 3 calls");
+  CheckViolation("work_after_departure", "e1 got 3 calls");
 }
 
-TEST(Checker, NamesAPlainAnswerOfAnotherCall) {
+TEST(Checker, PlainAnswerToAnotherRequestIsReported) {
   history.attempts[0].plain = true;
-  CheckAnswer("abcd0002", "other_request", "another call");
+  CheckAnswerViolation("abcd0002", "other_request", "another call");
   history.attempts[0].answer = "abcd0001";
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(Checker, NamesAnAnswerThatIsNone) {
+TEST(Checker, InvalidAnswerIsMalformed) {
   history.attempts[0].outcome = Outcome::kMalformed;
-  CheckNames("malformed", "neither an answer");
+  CheckViolation("malformed", "neither an answer");
 }
--- a/tests/tools/history_test.cc
+++ b/tests/tools/history_test.cc
@@ -1,5 +1,5 @@
-// Guards against a history that loses what a run saw, and against a truncated
-// or damaged one that passes as whole.
+// Guards against a history that loses recorded data, and against a truncated or
+// corrupted one that is accepted as complete.
 #include "tools/load/history.h"
 
 #include <CppUTest/TestHarness.h>
@@ -52,7 +52,7 @@
   }
 };
 
-TEST(History, EncodesEveryDeviationOfAnAnswer) {
+TEST(History, EncodedAnswerShowsRepeatedMixedAndInvalidTokens) {
   const std::string whole = Tokens(0xab, 1, 5, 5);
   STRCMP_EQUAL("000000ab:1-5.", EncodeAnswer(whole).c_str());
   STRCMP_EQUAL(
@@ -69,7 +69,7 @@
   STRCMP_EQUAL("", EncodeAnswer("").c_str());
 }
 
-TEST(History, ReadsBackWhatWasWritten) {
+TEST(History, WrittenHistoryIsReadBackUnchanged) {
   Attempt attempt;
   attempt.id = "r1";
   attempt.key = "k1";
@@ -106,18 +106,18 @@
                FormatAttempt(history.attempts.at(0)).c_str());
 }
 
-TEST(History, RefusesAHistoryWithoutFooter) {
+TEST(History, HistoryWithoutFooterIsRejected) {
   const History history = Read(std::string(kHeader) + "\n");
   CHECK(!history.complete);
   CheckFinding(path.c_str(), "cut short");
 }
 
-TEST(History, RefusesALineCutInTheMiddle) {
+TEST(History, TruncatedLineIsRejected) {
   Read(std::string(kHeader) + "\n{\"type\":\"attempt\",\"id\":\"r");
   CheckFinding(":2", "parse error");
 }
 
-TEST(History, RefusesAMissingHeaderAndLinesAfterTheFooter) {
+TEST(History, MissingHeaderAndLinesAfterFooterAreRejected) {
   Read(std::string(kFooter) + "\n" + kHeader + "\n");
   CHECK(!findings.empty());
   Findings first = findings;
@@ -126,13 +126,13 @@
   CheckFinding(path.c_str(), "no header");
 }
 
-TEST(History, RefusesAnAttemptWithoutAField) {
+TEST(History, AttemptWithMissingFieldIsRejected) {
   Read(std::string(kHeader) + "\n{\"type\":\"attempt\",\"id\":\"r1\"}\n" +
        kFooter + "\n");
   CheckFinding(":2", "key");
 }
 
-TEST(History, RefusesAFileThatIsNotThere) {
+TEST(History, MissingFileIsRejected) {
   ReadHistory("no_such_file.jsonl", &findings);
   CheckFinding("no_such_file.jsonl", "can't be read");
 }
--- a/tests/tools/load_run_test.cc
+++ b/tests/tools/load_run_test.cc
@@ -1,5 +1,5 @@
-// Guards against a load run that misreads answers: a clean stand-in must give
-// a clean history, and a faulty one must be found out.
+// Guards against a load run that misreads answers: a fault-free endpoint must
+// yield a history without violations, and faults must be detected.
 #include "tools/load/load_run.h"
 
 #include <CppUTest/TestHarness.h>
@@ -66,13 +66,13 @@
   LoadTotals Run() {
     std::atomic<bool> done{false};
     RunResult result;
-    std::thread runner([&] {
+    std::thread load_thread([&] {
       result = RunLoad(options);
       done = true;
     });
-    constexpr int kPatienceSeconds = 60;
-    const bool ended = RunUntil([&] { return done.load(); }, kPatienceSeconds);
-    runner.join();
+    constexpr int kTimeoutSeconds = 60;
+    const bool ended = RunUntil([&] { return done.load(); }, kTimeoutSeconds);
+    load_thread.join();
     CHECK(ended);
     STRCMP_EQUAL("", result.failure.c_str());
     Findings findings;
@@ -82,7 +82,7 @@
   }
 };
 
-TEST(LoadRun, RecordsEveryAnswerOfACleanStandIn) {
+TEST(LoadRun, EveryAnswerOfFaultFreeEndpointIsRecorded) {
   Start(EndpointRole::kDecode);
   options.plan.workload.stream_share = 0.5;
   options.plan.workload.non_idempotent_share = 0.5;
@@ -93,7 +93,7 @@
   LONGS_EQUAL(0, CheckHistory(history).size());
 }
 
-TEST(LoadRun, CancelledCallersLeaveNothingHeld) {
+TEST(LoadRun, CancelledRequestsAreReleased) {
   Start(EndpointRole::kDecode);
   options.plan.workload.cancel_share = 1;
   const LoadTotals totals = Run();
@@ -102,7 +102,7 @@
   CHECK(RunUntil([&] { return endpoint->State()["held_sessions"] == 0; }));
 }
 
-TEST(LoadRun, RepeatedChunksAreFoundOut) {
+TEST(LoadRun, RepeatedChunksAreDoubled) {
   Start(EndpointRole::kDecode);
   Fault(R"({"repeat_rate":0.1})");
   Run();
@@ -111,7 +111,7 @@
   STRCMP_EQUAL("doubled", violations[0].invariant.c_str());
 }
 
-TEST(LoadRun, ErrorsAreRefusalsAndNotAnswers) {
+TEST(LoadRun, ErrorsCountAsRefusedAndNotAnswered) {
   Start(EndpointRole::kPlain);
   Fault(R"({"error_rate":1.0})");
   const LoadTotals totals = Run();
@@ -119,7 +119,7 @@
   LONGS_EQUAL(0, totals.services.at("service").answered);
 }
 
-TEST(LoadRun, PlainCallsAreCheckedAgainstTheirBody) {
+TEST(LoadRun, PlainAnswersMatchTheirRequestBody) {
   Start(EndpointRole::kPlain);
   const LoadTotals totals = Run();
   LONGS_EQUAL(200, totals.services.at("service").answered);
@@ -128,7 +128,7 @@
 
 TEST_GROUP(LoadOptions){};
 
-TEST(LoadOptions, NamesEveryWrongPartAtOnce) {
+TEST(LoadOptions, EveryInvalidPartIsReported) {
   cassiausher::Addresses addresses;
   addresses.services = {{"a", false}, {"b", true}};
   Workload workload;
@@ -143,7 +143,7 @@
   DOUBLES_EQUAL(5, workload.services[0].prompt_median, 0);
 }
 
-TEST(LoadOptions, PercentilesStayWithinTheWidthOfABin) {
+TEST(LoadOptions, PercentilesAreExactToOneBinWidth) {
   LatencyHistogram histogram;
   for (int ms = 1; ms <= 1000; ++ms) histogram.Record(ms * 1000);
   LONGS_EQUAL(1000, histogram.count());
