--- a/tools/policy_bench/fake_engine.cc
+++ b/tools/policy_bench/fake_engine.cc
@@ -1,4 +1,4 @@
-// Engines and link in virtual time.
+// Simulated engines and KV-cache link.
 #include "tools/policy_bench/fake_engine.h"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
 
 void FakeLink::Finish() {
   if (scheduler_.now() < stalled_until_) {
-    // The stall began during the transfer and delays its end.
+    // A stall that starts during a transfer delays its completion.
     scheduler_.At(stalled_until_, [this] { Finish(); });
     return;
   }
@@ -62,7 +62,7 @@
     });
     return;
   }
-  queue_[{job->priority, next_++}] = job;
+  queue_[{job->priority, next_sequence_++}] = job;
   if (!running_) StartNext();
 }
 
@@ -90,7 +90,7 @@
   if (!running_) StartNext();
 }
 
-void FakePrefill::AccountPartOfRun() {
+void FakePrefill::AbortRun() {
   const double seconds =
       ToSeconds(scheduler_.now() - run_start_ - model_.prefill_overhead);
   const auto done = static_cast<std::int64_t>(std::max(0.0, seconds) *
@@ -104,19 +104,19 @@
   retained_.erase(job);
   std::erase_if(queue_, [&](const auto& item) { return item.second == job; });
   if (running_ != job) return;
-  AccountPartOfRun();
+  AbortRun();
   StartNext();
 }
 
 bool FakePrefill::Export(const JobPtr& job) { return retained_.erase(job) > 0; }
 
-void FakePrefill::Die() {
+void FakePrefill::Crash() {
   alive_ = false;
   std::vector<JobPtr> lost;
   for (const auto& [key, job] : queue_) lost.push_back(job);
   if (running_) {
     lost.push_back(running_);
-    AccountPartOfRun();
+    AbortRun();
   }
   queue_.clear();
   retained_.clear();
@@ -169,18 +169,18 @@
     });
     return;
   }
-  queue_[{job->priority, next_++}] = job;
-  Fill();
+  queue_[{job->priority, next_sequence_++}] = job;
+  FillSlots();
 }
 
-void FakeDecode::Fill() {
+void FakeDecode::FillSlots() {
   while (!queue_.empty() && running() < model_.slots) {
     const JobPtr job = queue_.begin()->second;
     queue_.erase(queue_.begin());
     if (job->source) {
       Import(job);
     } else {
-      Join(job);
+      AddToBatch(job);
     }
   }
 }
@@ -190,31 +190,31 @@
   transfers_.push_back(job);
   const auto start = [this, job] {
     if (job->source->Export(job)) return true;
-    // The result was dropped: the retention time has passed.
+    // The KV cache was dropped because its retention time expired.
     std::erase(transfers_, job);
     --importing_;
     scheduler_.After(Duration(0), [this, job] {
       if (!job->cancelled) job->on_lost();
-      if (alive_) Fill();
+      if (alive_) FillSlots();
     });
     return false;
   };
   const auto done = [this, job] {
     std::erase(transfers_, job);
     --importing_;
-    Join(job);
+    AddToBatch(job);
   };
   link_.Transfer(job, job->prompt * model_.kv_bytes_per_token, start, done);
 }
 
-void FakeDecode::Join(const JobPtr& job) {
+void FakeDecode::AddToBatch(const JobPtr& job) {
   batch_.push_back(job);
   if (!stepping_) StartStep();
 }
 
 void FakeDecode::StartStep() {
   step_.clear();
-  std::int64_t left = model_.chunk_tokens;
+  std::int64_t budget = model_.chunk_tokens;
   int decoding = 0;
   std::int64_t chunk = 0;
   std::stable_sort(batch_.begin(), batch_.end(),
@@ -225,22 +225,22 @@
     const std::int64_t missing =
         job->source ? 0
                     : std::max<std::int64_t>(0, job->prompt - job->prefilled);
-    const std::int64_t taken = std::min(missing, left);
-    left -= taken;
+    const std::int64_t taken = std::min(missing, budget);
+    budget -= taken;
     chunk += taken;
     if (taken == missing) ++decoding;
     if (taken == missing || taken > 0) step_.emplace_back(job, taken);
   }
   if (step_.empty()) return;
   stepping_ = true;
-  const std::uint64_t life = life_;
+  const std::uint64_t generation = generation_;
   scheduler_.After(
       model_.Step(decoding) + TimeFor(chunk, model_.prefill_tokens_per_second),
-      [this, life] { FinishStep(life); });
+      [this, generation] { FinishStep(generation); });
 }
 
-void FakeDecode::FinishStep(std::uint64_t life) {
-  if (life != life_) return;
+void FakeDecode::FinishStep(std::uint64_t generation) {
+  if (generation != generation_) return;
   const auto done = std::exchange(step_, {});
   for (const auto& [job, prompt_tokens] : done) {
     if (job->cancelled) continue;
@@ -249,10 +249,10 @@
     --job->output;
     if (job->output == 0) std::erase(batch_, job);
     job->on_token();
-    if (life != life_) return;
+    if (generation != generation_) return;
   }
   stepping_ = false;
-  Fill();
+  FillSlots();
   if (!stepping_) StartStep();
 }
 
@@ -261,12 +261,12 @@
   std::erase(batch_, job);
   // The link skips transfers of cancelled jobs.
   if (std::erase(transfers_, job) > 0) --importing_;
-  if (alive_) Fill();
+  if (alive_) FillSlots();
 }
 
-void FakeDecode::Die() {
+void FakeDecode::Crash() {
   alive_ = false;
-  ++life_;
+  ++generation_;
   stepping_ = false;
   step_.clear();
   std::vector<JobPtr> lost = std::exchange(batch_, {});
--- a/tools/policy_bench/main.cc
+++ b/tools/policy_bench/main.cc
@@ -1,5 +1,5 @@
-// Policy bench: runs the routing policies in virtual time against small fake
-// engines and prints goodput, latencies and wasted prefill.
+// Benchmark of the routing policies: runs them in virtual time against
+// simulated engines and prints goodput, latencies and wasted prefill.
 #include <docopt/docopt.h>
 #include <fmt/format.h>
 
@@ -62,12 +62,13 @@
   return *place;
 }
 
-double GapQuantile(const std::vector<std::uint64_t>& tenths, double quantile) {
+/// Quantile in milliseconds of a histogram with buckets of 0.1 ms.
+double GapQuantile(const std::vector<std::uint64_t>& buckets, double quantile) {
   double total = 0;
-  for (const std::uint64_t count : tenths) total += static_cast<double>(count);
+  for (const std::uint64_t count : buckets) total += static_cast<double>(count);
   double sum = 0;
-  for (std::size_t i = 0; i < tenths.size(); ++i) {
-    sum += static_cast<double>(tenths[i]);
+  for (std::size_t i = 0; i < buckets.size(); ++i) {
+    sum += static_cast<double>(buckets[i]);
     if (total > 0 && sum >= quantile * total)
       return static_cast<double>(i) / 10;
   }
@@ -93,19 +94,20 @@
       static_cast<double>(result.cancelled_after_prefill_tokens), prefilled);
   json["refused_not_run"] = result.refused_not_run;
   json["failed"] = result.failed;
-  json["callers_left"] = result.left;
+  json["callers_left"] = result.abandoned;
   json["cancelled"] = result.cancelled;
-  for (ClassResult& of_class : result.classes) {
+  for (ClassResult& class_result : result.classes) {
     nlohmann::ordered_json row;
-    row["name"] = of_class.name;
-    row["ttft_p50_ms"] = Quantile(of_class.ttft_ms, 0.5);
-    row["ttft_p95_ms"] = Quantile(of_class.ttft_ms, 0.95);
-    row["ttft_p99_ms"] = Quantile(of_class.ttft_ms, 0.99);
-    row["ttft_p99_shared_pool_ms"] = Quantile(of_class.ttft_shared_ms, 0.99);
-    row["tbt_p95_ms"] = GapQuantile(of_class.gaps, 0.95);
-    row["offered"] = of_class.offered;
-    row["goodput"] = Share(static_cast<double>(of_class.good),
-                           static_cast<double>(of_class.offered));
+    row["name"] = class_result.name;
+    row["ttft_p50_ms"] = Quantile(class_result.ttft_ms, 0.5);
+    row["ttft_p95_ms"] = Quantile(class_result.ttft_ms, 0.95);
+    row["ttft_p99_ms"] = Quantile(class_result.ttft_ms, 0.99);
+    row["ttft_p99_shared_pool_ms"] =
+        Quantile(class_result.ttft_shared_ms, 0.99);
+    row["tbt_p95_ms"] = GapQuantile(class_result.gaps, 0.95);
+    row["offered"] = class_result.offered;
+    row["goodput"] = Share(static_cast<double>(class_result.good),
+                           static_cast<double>(class_result.offered));
     json["class"].push_back(row);
   }
   json["decision_us_p50"] = Quantile(result.decision_us, 0.5);
@@ -147,12 +149,12 @@
   if (!FindDeployment(deployment, &options.deployment))
     return Fail("--deployment: unknown deployment \"" + deployment + "\"");
   const std::string fault = arguments["--fault"].asString();
-  const auto* known_fault =
+  const auto* fault_entry =
       std::find_if(kFaults.begin(), kFaults.end(),
                    [&](const auto& item) { return item.first == fault; });
-  if (known_fault == kFaults.end())
+  if (fault_entry == kFaults.end())
     return Fail("--fault: unknown fault \"" + fault + "\"");
-  options.fault = known_fault->second;
+  options.fault = fault_entry->second;
   try {
     options.load = std::stod(arguments["--load"].asString());
     options.seed = std::stoull(arguments["--seed"].asString());
@@ -167,9 +169,9 @@
     return Fail("--load must be in (0, 100], --seconds above 0");
   options.only_short = arguments["--only-short"].asBool();
   const std::string policy = arguments["--policy"].asString();
-  const bool known =
+  const bool is_known_policy =
       std::find(kPolicies.begin(), kPolicies.end(), policy) != kPolicies.end();
-  if (policy != "all" && !known)
+  if (policy != "all" && !is_known_policy)
     return Fail("--policy: unknown policy \"" + policy + "\"");
 
   RoutingPolicyRegistry registry;
--- a/tools/policy_bench/scheduler.h
+++ b/tools/policy_bench/scheduler.h
@@ -1,4 +1,4 @@
-// Virtual time: runs events in order of their time.
+// Discrete-event scheduler that keeps virtual time.
 #ifndef TOOLS_POLICY_BENCH_SCHEDULER_H_
 #define TOOLS_POLICY_BENCH_SCHEDULER_H_
 
@@ -12,21 +12,26 @@
 
 namespace cassiausher {
 
+/// Runs events in order of time; events with equal times run in the order in
+/// which they were added.
 class Scheduler {
  public:
   using Action = std::function<void()>;
 
   Time now() const { return now_; }
+  /// A `time` in the past counts as now.
   void At(Time time, Action action) {
-    events_.push({time < now_ ? now_ : time, next_++, std::move(action)});
+    events_.push(
+        {time < now_ ? now_ : time, next_number_++, std::move(action)});
   }
   void After(Duration delay, Action action) {
     At(now_ + delay, std::move(action));
   }
-  /// Runs the next event; false when there is none.
+  /// Runs the next event; returns false if there is none.
   bool RunOne() {
     if (events_.empty()) return false;
-    // The queue gives no mutable access; the element is removed at once.
+    // std::priority_queue::top() is const. Moving from it is safe because the
+    // element is popped next.
     Event event = std::move(const_cast<Event&>(events_.top()));
     events_.pop();
     now_ = event.time;
@@ -45,7 +50,7 @@
   };
   std::priority_queue<Event> events_;
   Time now_{Seconds(1)};
-  std::uint64_t next_ = 0;
+  std::uint64_t next_number_ = 0;
 };
 
 }  // namespace cassiausher
--- a/tools/policy_bench/simulation.cc
+++ b/tools/policy_bench/simulation.cc
@@ -1,4 +1,5 @@
-// Entry instances, callers and faults around the real decision code.
+// Simulates entry instances, callers and faults around the routing policies
+// that the daemon runs.
 #include "tools/policy_bench/simulation.h"
 
 #include <fmt/format.h>
@@ -11,26 +12,28 @@
 
 namespace {
 
-/// Not measured: the pools fill up from empty.
+/// Requests that arrive during the warm-up are left out of the results, since
+/// the pools start empty.
 constexpr Duration kWarmUp = Seconds(15);
+/// One-way network delays within a data centre and between two of them.
 constexpr Duration kLocalHop = Duration(200);
-constexpr Duration kCrossHop = Milliseconds(1);
-constexpr Duration kAnnounceEvery = Seconds(1);
-constexpr Duration kSummaryEvery = Milliseconds(250);
-constexpr Duration kRemoveAfter = Seconds(3);
-constexpr Duration kRestartAfter = Seconds(10);
-constexpr int kMostAttempts = 4;
-/// A caller without a first token leaves after this many times the target.
+constexpr Duration kCrossDataCentreHop = Milliseconds(1);
+constexpr Duration kAnnounceInterval = Seconds(1);
+constexpr Duration kSummaryInterval = Milliseconds(250);
+constexpr Duration kRemovalDelay = Seconds(3);
+constexpr Duration kRestartDelay = Seconds(10);
+constexpr int kMaxAttempts = 4;
+/// A caller cancels if it has no first token after this many times the target.
 constexpr int kCallerPatience = 3;
-constexpr double kAllowedLateGaps = 0.05;
-constexpr double kLostCacheEvents = 0.1;
+constexpr double kMaxLateGapShare = 0.05;
+constexpr double kCacheEventLossRate = 0.1;
 
-constexpr Duration kDecodeDeathEvery = Seconds(60);
-constexpr Duration kPrefillDeathEvery = Seconds(30);
-constexpr Duration kLinkStallEvery = Seconds(20);
+constexpr Duration kDecodeDeathInterval = Seconds(60);
+constexpr Duration kPrefillDeathInterval = Seconds(30);
+constexpr Duration kLinkStallInterval = Seconds(20);
 constexpr Duration kLinkStall = Seconds(1);
-constexpr Duration kStormEvery = Seconds(10);
-constexpr double kStormShare = 0.25;
+constexpr Duration kCancelStormInterval = Seconds(10);
+constexpr double kCancelStormShare = 0.25;
 
 }  // namespace
 
@@ -39,11 +42,12 @@
   Pool* pool = nullptr;
   std::unique_ptr<FakePrefill> prefill;
   std::unique_ptr<FakeDecode> decode;
-  /// The owner has been told that the endpoint is dead.
+  /// The pool's owner has removed the endpoint as dead.
   bool removed = false;
   std::uint64_t report_sequence = 0;
   std::uint64_t cache_sequence = 0;
-  /// Grants to this decode engine that have not ended, in this incarnation.
+  /// Requests granted to the current incarnation of this decode engine that
+  /// have not ended.
   std::set<RequestId> granted;
 
   bool alive() const { return prefill ? prefill->alive() : decode->alive(); }
@@ -55,31 +59,32 @@
   std::unique_ptr<RoutingPolicy> policy;
   Time tick_at = Time::max();
   int queued = 0;
-  /// Free slots less queued requests as the other owners know them.
+  /// Free slots minus queued requests, as last published to the other owners.
   int summary = 0;
 };
 
-struct Simulation::Live {
+struct Simulation::ActiveRequest {
   RequestId id;
   Arrival arrival;
   ClassTargets targets;
   Pool* pool = nullptr;
-  /// Admit calls without an answer yet, 0 or 1.
-  int pending = 0;
-  /// The pool's owner keeps state of the request.
-  bool known = false;
+  /// Admit calls without a decision yet, 0 or 1.
+  int pending_admits = 0;
+  /// The pool's owner keeps state for the request.
+  bool tracked_by_owner = false;
   int attempt = 0;
   std::set<int> visited;
   std::vector<EndpointId> avoid;
   std::vector<JobPtr> jobs;
-  std::set<JobPtr> productive;
+  /// Jobs that have generated at least one token.
+  std::set<JobPtr> jobs_with_tokens;
   Grant grant;
   std::int64_t delivered = 0;
   bool done = false;
   bool answered = false;
   bool cancelled_by_fault = false;
-  /// The caller lost patience.
-  bool left = false;
+  /// The caller cancelled because it got no first token in time.
+  bool abandoned = false;
   bool prefill_done = false;
   Time first_token{};
   Time last_token{};
@@ -190,144 +195,151 @@
 }
 
 void Simulation::HandleOutput(Pool& pool, const RouteOutput& output) {
-  const auto answer = [&](const RequestId& id) -> LivePtr {
-    const auto found = live_.find(id);
-    // The caller may have left while the answer was due.
-    if (found == live_.end()) return nullptr;
-    const LivePtr live = found->second;
-    if (live->pool != &pool || live->pending != 1)
-      Violation("an answer that no Admit asked for");
-    --live->pending;
+  const auto take_pending = [&](const RequestId& id) -> ActiveRequestPtr {
+    const auto found = active_.find(id);
+    // The caller may have cancelled before the decision was made.
+    if (found == active_.end()) return nullptr;
+    const ActiveRequestPtr active = found->second;
+    if (active->pool != &pool || active->pending_admits != 1)
+      RecordViolation("admission decision without a pending Admit call");
+    --active->pending_admits;
     --pool.queued;
-    return live;
+    return active;
   };
   if (const auto* grant = std::get_if<Grant>(&output)) {
-    const LivePtr live = answer(grant->request);
-    if (!live) return;
+    const ActiveRequestPtr active = take_pending(grant->request);
+    if (!active) return;
     Runner& decode = *by_id_.at(grant->decode);
-    if (decode.removed) Violation("grant to an endpoint known as dead");
+    if (decode.removed)
+      RecordViolation("grant to an endpoint that was removed as dead");
     decode.granted.insert(grant->request);
     const bool promises_slots = options_.policy == "reserving";
     if (promises_slots &&
         static_cast<int>(decode.granted.size()) > decode.info.slots)
-      Violation("slots over-committed");
-    scheduler_.After(HopTo(*live),
-                     [this, live, grant = *grant] { OnGrant(live, grant); });
+      RecordViolation("slots over-committed");
+    scheduler_.After(HopTo(*active), [this, active, grant = *grant] {
+      OnGrant(active, grant);
+    });
   } else if (const auto* refusal = std::get_if<RouteRefusal>(&output)) {
-    const LivePtr live = answer(refusal->request);
-    if (!live) return;
-    live->known = false;
-    scheduler_.After(HopTo(*live), [this, live, refusal = *refusal] {
-      OnRefusal(live, refusal);
+    const ActiveRequestPtr active = take_pending(refusal->request);
+    if (!active) return;
+    active->tracked_by_owner = false;
+    scheduler_.After(HopTo(*active), [this, active, refusal = *refusal] {
+      OnRefusal(active, refusal);
     });
   }
 }
 
-Duration Simulation::HopTo(const Live& live) const {
-  return live.pool->data_centre == live.arrival.data_centre ? kLocalHop
-                                                            : kCrossHop;
+Duration Simulation::HopTo(const ActiveRequest& active) const {
+  return active.pool->data_centre == active.arrival.data_centre
+             ? kLocalHop
+             : kCrossDataCentreHop;
 }
 
 template <typename Call>
-void Simulation::Tell(const LivePtr& live, Call call) {
-  Pool* pool = live->pool;
-  scheduler_.After(HopTo(*live),
+void Simulation::SendToOwner(const ActiveRequestPtr& active, Call call) {
+  Pool* pool = active->pool;
+  scheduler_.After(HopTo(*active),
                    [this, pool, call] { Decide(*pool, false, call); });
 }
 
-void Simulation::Arrive(const Arrival& arrival) {
-  auto live = std::make_shared<Live>();
-  live->id = RequestId(fmt::format("request-{}", next_request_++));
-  live->arrival = arrival;
-  live->targets = Targets(arrival.kind);
-  live_[live->id] = live;
+void Simulation::OnArrival(const Arrival& arrival) {
+  auto active = std::make_shared<ActiveRequest>();
+  active->id = RequestId(fmt::format("request-{}", next_request_++));
+  active->arrival = arrival;
+  active->targets = Targets(arrival.kind);
+  active_[active->id] = active;
   const std::size_t services = options_.deployment.services.size();
-  live->pool = pools_[static_cast<std::size_t>(arrival.data_centre) * services +
-                      static_cast<std::size_t>(arrival.service)]
-                   .get();
-  SendAdmit(live);
-  scheduler_.After(kCallerPatience * live->targets.first_token, [this, live] {
-    if (live->delivered == 0) CallerCancels(live, false);
-  });
+  active->pool =
+      pools_[static_cast<std::size_t>(arrival.data_centre) * services +
+             static_cast<std::size_t>(arrival.service)]
+          .get();
+  SendAdmit(active);
+  scheduler_.After(kCallerPatience * active->targets.first_token,
+                   [this, active] {
+                     if (active->delivered == 0) CallerCancels(active, false);
+                   });
 }
 
-void Simulation::SendAdmit(const LivePtr& live) {
+void Simulation::SendAdmit(const ActiveRequestPtr& active) {
   RouteRequest request;
-  request.id = live->id;
+  request.id = active->id;
   request.entry =
-      InstanceId(fmt::format("entry-{}", live->arrival.data_centre));
+      InstanceId(fmt::format("entry-{}", active->arrival.data_centre));
   request.service =
       ServiceId(options_.deployment
-                    .services[static_cast<std::size_t>(live->arrival.service)]
+                    .services[static_cast<std::size_t>(active->arrival.service)]
                     .name);
-  request.class_id = live->targets.id;
-  request.account = AccountId(fmt::format("account-{}", live->arrival.account));
-  request.arrived = live->arrival.time;
-  request.prompt_tokens = Tokens(live->arrival.prompt);
+  request.class_id = active->targets.id;
+  request.account =
+      AccountId(fmt::format("account-{}", active->arrival.account));
+  request.arrived = active->arrival.time;
+  request.prompt_tokens = Tokens(active->arrival.prompt);
   request.max_output_tokens = Tokens(1024);
-  request.prefix_hashes = live->arrival.prefix_hashes;
-  request.attempt = live->attempt;
-  request.delivered_tokens = Tokens(live->delivered);
-  request.avoid = live->avoid;
-  live->visited.insert(live->pool->data_centre);
-  const Pool* other = NextPool(*live);
+  request.prefix_hashes = active->arrival.prefix_hashes;
+  request.attempt = active->attempt;
+  request.delivered_tokens = Tokens(active->delivered);
+  request.avoid = active->avoid;
+  active->visited.insert(active->pool->data_centre);
+  const Pool* other = NextPool(*active);
   request.may_forward = other && other->summary > 0;
-  live->known = true;
-  ++live->pending;
-  ++live->pool->queued;
-  Pool* pool = live->pool;
-  scheduler_.After(HopTo(*live), [this, pool, live, request] {
-    if (live->done) return;
+  active->tracked_by_owner = true;
+  ++active->pending_admits;
+  ++active->pool->queued;
+  Pool* pool = active->pool;
+  scheduler_.After(HopTo(*active), [this, pool, active, request] {
+    if (active->done) return;
     Decide(*pool, true, [&](RoutingPolicy& policy) {
       policy.Admit(request, scheduler_.now());
     });
   });
 }
 
-Simulation::Pool* Simulation::NextPool(const Live& live) const {
+Simulation::Pool* Simulation::NextPool(const ActiveRequest& active) const {
   Pool* best = nullptr;
   for (const auto& pool : pools_) {
-    if (pool->service != live.arrival.service) continue;
-    if (live.visited.contains(pool->data_centre)) continue;
+    if (pool->service != active.arrival.service) continue;
+    if (active.visited.contains(pool->data_centre)) continue;
     if (!best || pool->summary > best->summary) best = pool.get();
   }
   return best;
 }
 
-void Simulation::OnRefusal(const LivePtr& live, const RouteRefusal& refusal) {
-  if (live->done) return;
-  Pool* best = NextPool(*live);
-  const bool spent = refusal.reason == RefusalReason::kRetriesSpent;
-  if (best && !spent) {
-    live->pool = best;
-    SendAdmit(live);
+void Simulation::OnRefusal(const ActiveRequestPtr& active,
+                           const RouteRefusal& refusal) {
+  if (active->done) return;
+  Pool* best = NextPool(*active);
+  const bool retries_spent = refusal.reason == RefusalReason::kRetriesSpent;
+  if (best && !retries_spent) {
+    active->pool = best;
+    SendAdmit(active);
     return;
   }
-  if (live->attempt == 0) {
-    if (live->arrival.time >= measure_from_) ++result_.refused_not_run;
+  if (active->attempt == 0) {
+    if (active->arrival.time >= measure_from_) ++result_.refused_not_run;
   }
-  End(live);
+  End(active);
 }
 
-void Simulation::OnGrant(const LivePtr& live, const Grant& grant) {
-  if (live->done) return;
-  live->grant = grant;
+void Simulation::OnGrant(const ActiveRequestPtr& active, const Grant& grant) {
+  if (active->done) return;
+  active->grant = grant;
   auto job = std::make_shared<EngineJob>();
   job->priority = grant.priority;
-  job->prompt = live->arrival.prompt + live->delivered;
-  job->output = live->arrival.output - live->delivered;
-  job->prefix_hashes = live->arrival.prefix_hashes;
-  live->jobs.push_back(job);
-  live->prefill_done = false;
+  job->prompt = active->arrival.prompt + active->delivered;
+  job->output = active->arrival.output - active->delivered;
+  job->prefix_hashes = active->arrival.prefix_hashes;
+  active->jobs.push_back(job);
+  active->prefill_done = false;
   const EndpointId first = grant.prefill.empty() ? grant.decode : grant.prefill;
-  job->on_prefilled = [this, live, job] { OnPrefilled(live, job); };
-  job->on_token = [this, live, job] { OnToken(live, job); };
-  job->on_lost = [this, live, job] {
-    Fail(live, job,
-         live->prefill_done
-             ? live->grant.decode
-             : (live->grant.prefill.empty() ? live->grant.decode
-                                            : live->grant.prefill));
+  job->on_prefilled = [this, active, job] { OnPrefilled(active, job); };
+  job->on_token = [this, active, job] { OnToken(active, job); };
+  job->on_lost = [this, active, job] {
+    Fail(active, job,
+         active->prefill_done
+             ? active->grant.decode
+             : (active->grant.prefill.empty() ? active->grant.decode
+                                              : active->grant.prefill));
   };
   Runner& runner = *by_id_.at(first);
   if (runner.prefill) {
@@ -339,118 +351,122 @@
   const Duration limit =
       grant.prefill_timeout +
       (grant.prefill.empty() ? grant.first_token_timeout : Duration(0));
-  scheduler_.After(limit, [this, live, job, first] {
-    if (!job->cancelled && !live->prefill_done &&
-        !live->productive.contains(job))
-      Fail(live, job, first);
+  scheduler_.After(limit, [this, active, job, first] {
+    if (!job->cancelled && !active->prefill_done &&
+        !active->jobs_with_tokens.contains(job))
+      Fail(active, job, first);
   });
 }
 
-void Simulation::OnPrefilled(const LivePtr& live, const JobPtr& job) {
+void Simulation::OnPrefilled(const ActiveRequestPtr& active,
+                             const JobPtr& job) {
   if (job->cancelled) return;
-  live->prefill_done = true;
-  Tell(live, [this, id = live->id](RoutingPolicy& policy) {
+  active->prefill_done = true;
+  SendToOwner(active, [this, id = active->id](RoutingPolicy& policy) {
     policy.OnPrefillFinished(id, scheduler_.now());
   });
-  const EndpointId decode = live->grant.decode;
+  const EndpointId decode = active->grant.decode;
   scheduler_.After(kLocalHop, [this, job, decode] {
     if (!job->cancelled) by_id_.at(decode)->decode->Submit(job);
   });
-  scheduler_.After(live->grant.first_token_timeout, [this, live, job, decode] {
-    if (!job->cancelled && !live->productive.contains(job))
-      Fail(live, job, decode);
-  });
+  scheduler_.After(
+      active->grant.first_token_timeout, [this, active, job, decode] {
+        if (!job->cancelled && !active->jobs_with_tokens.contains(job))
+          Fail(active, job, decode);
+      });
 }
 
-void Simulation::OnToken(const LivePtr& live, const JobPtr& job) {
-  if (live->done) {
-    Violation("a token after the end");
+void Simulation::OnToken(const ActiveRequestPtr& active, const JobPtr& job) {
+  if (active->done) {
+    RecordViolation("token after the end of the request");
     return;
   }
   const Time now = scheduler_.now();
-  const bool measured = live->arrival.time >= measure_from_;
-  const std::size_t kind = live->arrival.kind == RequestKind::kLong ? 1 : 0;
-  if (live->productive.insert(job).second) {
-    Tell(live, [this, id = live->id](RoutingPolicy& policy) {
+  const bool measured = active->arrival.time >= measure_from_;
+  const std::size_t kind = active->arrival.kind == RequestKind::kLong ? 1 : 0;
+  if (active->jobs_with_tokens.insert(job).second) {
+    SendToOwner(active, [this, id = active->id](RoutingPolicy& policy) {
       policy.OnFirstToken(id, scheduler_.now());
     });
   }
-  if (live->delivered == 0) {
-    live->first_token = now + kLocalHop;
+  if (active->delivered == 0) {
+    active->first_token = now + kLocalHop;
   } else {
-    const Duration gap = now - live->last_token;
-    ++live->gaps;
-    if (gap > live->targets.between_tokens) ++live->late_gaps;
+    const Duration gap = now - active->last_token;
+    ++active->gaps;
+    if (gap > active->targets.between_tokens) ++active->late_gaps;
     const auto tenths = static_cast<std::size_t>(gap.count() / 100);
     if (measured)
       ++result_.classes[kind].gaps[std::min<std::size_t>(tenths, 10000)];
   }
-  live->last_token = now;
-  ++live->delivered;
+  active->last_token = now;
+  ++active->delivered;
   if (job->output > 0) return;
-  if (live->delivered != live->arrival.output)
-    Violation("an answer of the wrong length");
-  live->answered = true;
-  Tell(live, [this, id = live->id,
-              tokens = Tokens(live->delivered)](RoutingPolicy& policy) {
-    policy.OnFinished(id, tokens, scheduler_.now());
-  });
-  by_id_.at(live->grant.decode)->granted.erase(live->id);
-  live->known = false;
-  End(live);
+  if (active->delivered != active->arrival.output)
+    RecordViolation("response has the wrong number of tokens");
+  active->answered = true;
+  SendToOwner(active,
+              [this, id = active->id,
+               tokens = Tokens(active->delivered)](RoutingPolicy& policy) {
+                policy.OnFinished(id, tokens, scheduler_.now());
+              });
+  by_id_.at(active->grant.decode)->granted.erase(active->id);
+  active->tracked_by_owner = false;
+  End(active);
 }
 
-void Simulation::CancelAtEngines(const LivePtr& live, const JobPtr& job) {
+void Simulation::CancelAtEngines(const ActiveRequestPtr& active,
+                                 const JobPtr& job) {
   job->cancelled = true;
   if (job->source) job->source->Cancel(job);
-  Runner& decode = *by_id_.at(live->grant.decode);
+  Runner& decode = *by_id_.at(active->grant.decode);
   decode.decode->Cancel(job);
-  decode.granted.erase(live->id);
+  decode.granted.erase(active->id);
 }
 
-void Simulation::Fail(const LivePtr& live, const JobPtr& job,
+void Simulation::Fail(const ActiveRequestPtr& active, const JobPtr& job,
                       const EndpointId& endpoint) {
-  if (job->cancelled || live->done) return;
-  CancelAtEngines(live, job);
-  Tell(live, [this, id = live->id, endpoint](RoutingPolicy& policy) {
+  if (job->cancelled || active->done) return;
+  CancelAtEngines(active, job);
+  SendToOwner(active, [this, id = active->id, endpoint](RoutingPolicy& policy) {
     policy.OnFailed(id, endpoint, scheduler_.now());
   });
-  live->known = false;
-  ++live->attempt;
-  if (live->attempt >= kMostAttempts) {
-    End(live);
+  active->tracked_by_owner = false;
+  ++active->attempt;
+  if (active->attempt >= kMaxAttempts) {
+    End(active);
     return;
   }
-  live->avoid.push_back(endpoint);
-  live->visited.clear();
-  SendAdmit(live);
+  active->avoid.push_back(endpoint);
+  active->visited.clear();
+  SendAdmit(active);
 }
 
-void Simulation::CallerCancels(const LivePtr& live, bool by_fault) {
-  if (live->done) return;
-  live->cancelled_by_fault = by_fault;
-  live->left = !by_fault;
-  if (!live->jobs.empty() && !live->jobs.back()->cancelled)
-    CancelAtEngines(live, live->jobs.back());
-  for (const auto& runner : runners_) runner->granted.erase(live->id);
-  live->pool->queued -= live->pending;
-  live->pending = 0;
-  if (live->known) {
-    Tell(live, [this, id = live->id](RoutingPolicy& policy) {
+void Simulation::CallerCancels(const ActiveRequestPtr& active, bool by_fault) {
+  if (active->done) return;
+  active->cancelled_by_fault = by_fault;
+  active->abandoned = !by_fault;
+  if (!active->jobs.empty() && !active->jobs.back()->cancelled)
+    CancelAtEngines(active, active->jobs.back());
+  for (const auto& runner : runners_) runner->granted.erase(active->id);
+  active->pool->queued -= active->pending_admits;
+  active->pending_admits = 0;
+  if (active->tracked_by_owner) {
+    SendToOwner(active, [this, id = active->id](RoutingPolicy& policy) {
       policy.OnCancelled(id, scheduler_.now());
     });
   }
-  End(live);
+  End(active);
 }
 
-void Simulation::End(const LivePtr& live) {
-  live->done = true;
-  Account(*live);
-  live_.erase(live->id);
-  // The callbacks own the request. One of them may be running, so that they
-  // are dropped by an event of their own.
-  scheduler_.After(Duration(0), [live] {
-    for (const JobPtr& job : live->jobs) {
+void Simulation::End(const ActiveRequestPtr& active) {
+  active->done = true;
+  RecordResult(*active);
+  active_.erase(active->id);
+  // The callbacks hold references to the request. One of them may be running
+  // now, so a separate event clears them.
+  scheduler_.After(Duration(0), [active] {
+    for (const JobPtr& job : active->jobs) {
       job->cancelled = true;
       job->on_prefilled = nullptr;
       job->on_token = nullptr;
@@ -459,49 +475,54 @@
   });
 }
 
-void Simulation::Account(const Live& live) {
-  if (live.arrival.time < measure_from_) return;
-  for (const JobPtr& job : live.jobs) {
+void Simulation::RecordResult(const ActiveRequest& active) {
+  if (active.arrival.time < measure_from_) return;
+  for (const JobPtr& job : active.jobs) {
     result_.prefilled_tokens += job->prefilled;
-    const bool useful = live.answered && live.productive.contains(job);
+    const bool useful =
+        active.answered && active.jobs_with_tokens.contains(job);
     if (useful) continue;
     result_.wasted_tokens += job->prefilled;
-    const bool done = job == live.jobs.back() &&
-                      (live.prefill_done || live.productive.contains(job));
-    if (live.cancelled_by_fault && done)
+    const bool done =
+        job == active.jobs.back() &&
+        (active.prefill_done || active.jobs_with_tokens.contains(job));
+    if (active.cancelled_by_fault && done)
       result_.cancelled_after_prefill_tokens += job->prefilled;
   }
-  if (live.cancelled_by_fault) {
+  if (active.cancelled_by_fault) {
     ++result_.cancelled;
     return;
   }
-  ClassResult& of_class =
-      result_.classes[live.arrival.kind == RequestKind::kLong ? 1 : 0];
+  ClassResult& class_result =
+      result_.classes[active.arrival.kind == RequestKind::kLong ? 1 : 0];
   ++result_.offered;
-  ++of_class.offered;
-  if (live.answered) ++result_.answered;
-  if (live.left) ++result_.left;
-  if (!live.answered && !live.left && live.attempt > 0) ++result_.failed;
-  if (live.first_token != Time{}) {
-    const double ttft = ToMilliseconds(live.first_token - live.arrival.time);
-    of_class.ttft_ms.push_back(ttft);
+  ++class_result.offered;
+  if (active.answered) ++result_.answered;
+  if (active.abandoned) ++result_.abandoned;
+  if (!active.answered && !active.abandoned && active.attempt > 0)
+    ++result_.failed;
+  if (active.first_token != Time{}) {
+    const double ttft =
+        ToMilliseconds(active.first_token - active.arrival.time);
+    class_result.ttft_ms.push_back(ttft);
     const ServiceModel& service =
         options_.deployment
-            .services[static_cast<std::size_t>(live.arrival.service)];
-    if (service.short_share < 1) of_class.ttft_shared_ms.push_back(ttft);
+            .services[static_cast<std::size_t>(active.arrival.service)];
+    if (service.short_share < 1) class_result.ttft_shared_ms.push_back(ttft);
   }
-  const bool in_time = live.answered && live.first_token - live.arrival.time <=
-                                            live.targets.first_token;
-  const bool steady = static_cast<double>(live.late_gaps) <=
-                      kAllowedLateGaps * static_cast<double>(live.gaps);
+  const bool in_time =
+      active.answered &&
+      active.first_token - active.arrival.time <= active.targets.first_token;
+  const bool steady = static_cast<double>(active.late_gaps) <=
+                      kMaxLateGapShare * static_cast<double>(active.gaps);
   if (!in_time || !steady) return;
   ++result_.good;
-  ++of_class.good;
+  ++class_result.good;
 }
 
 void Simulation::Announce(Runner& runner) {
   if (scheduler_.now() > arrivals_end_ + Seconds(120)) return;
-  scheduler_.After(kAnnounceEvery, [this, &runner] { Announce(runner); });
+  scheduler_.After(kAnnounceInterval, [this, &runner] { Announce(runner); });
   if (!runner.alive()) return;
   runner.removed = false;
   Decide(*runner.pool, false, [&](RoutingPolicy& policy) {
@@ -533,7 +554,7 @@
         runner.info.id, ++runner.cache_sequence,
         drawn.stored ? CacheEventKind::kStored : CacheEventKind::kRemoved,
         drawn.hash};
-    if (random_.Chance(kLostCacheEvents)) continue;
+    if (random_.Chance(kCacheEventLossRate)) continue;
     scheduler_.After(lag, [this, &runner, event] {
       Decide(*runner.pool, false, [&](RoutingPolicy& policy) {
         policy.OnCacheEvent(event, scheduler_.now());
@@ -546,17 +567,17 @@
   if (!runner.alive()) return;
   runner.granted.clear();
   if (runner.prefill) {
-    runner.prefill->Die();
+    runner.prefill->Crash();
   } else {
-    runner.decode->Die();
+    runner.decode->Crash();
   }
-  scheduler_.After(kRemoveAfter, [this, &runner] {
+  scheduler_.After(kRemovalDelay, [this, &runner] {
     runner.removed = true;
     Decide(*runner.pool, false, [&](RoutingPolicy& policy) {
       policy.RemoveEndpoint(runner.info.id, scheduler_.now());
     });
   });
-  scheduler_.After(kRestartAfter, [&runner] {
+  scheduler_.After(kRestartDelay, [&runner] {
     runner.info.incarnation = Incarnation(runner.info.incarnation.value() + 1);
     runner.granted.clear();
     if (runner.prefill) {
@@ -569,7 +590,7 @@
 
 void Simulation::ScheduleFaults() {
   const auto repeat = [this](Duration every, std::function<void()> action) {
-    // The first one falls into the measured time of a short run, too.
+    // Starts after a third of the interval so that short runs get a fault, too.
     for (Time at = measure_from_ + every / 3; at < arrivals_end_; at += every)
       scheduler_.At(at, action);
   };
@@ -585,19 +606,19 @@
     Kill(*candidates[random_.Below(candidates.size())]);
   };
   if (options_.fault == FaultKind::kDecodeDeath) {
-    repeat(kDecodeDeathEvery, [=] { kill_one(EndpointRole::kDecode); });
+    repeat(kDecodeDeathInterval, [=] { kill_one(EndpointRole::kDecode); });
   } else if (options_.fault == FaultKind::kPrefillDeath) {
-    repeat(kPrefillDeathEvery, [=] { kill_one(EndpointRole::kPrefill); });
+    repeat(kPrefillDeathInterval, [=] { kill_one(EndpointRole::kPrefill); });
   } else if (options_.fault == FaultKind::kLinkStall) {
-    repeat(kLinkStallEvery,
+    repeat(kLinkStallInterval,
            [this] { links_[random_.Below(links_.size())]->Stall(kLinkStall); });
   } else if (options_.fault == FaultKind::kCancelStorm) {
-    repeat(kStormEvery, [this] {
-      std::vector<LivePtr> chosen;
-      for (const auto& [id, live] : live_) {
-        if (random_.Chance(kStormShare)) chosen.push_back(live);
+    repeat(kCancelStormInterval, [this] {
+      std::vector<ActiveRequestPtr> chosen;
+      for (const auto& [id, active] : active_) {
+        if (random_.Chance(kCancelStormShare)) chosen.push_back(active);
       }
-      for (const LivePtr& live : chosen) CallerCancels(live, true);
+      for (const ActiveRequestPtr& active : chosen) CallerCancels(active, true);
     });
   }
 }
@@ -613,10 +634,10 @@
     pool->summary = free - pool->queued;
   }
   if (scheduler_.now() < arrivals_end_ + Seconds(10))
-    scheduler_.After(kSummaryEvery, [this] { UpdateSummaries(); });
+    scheduler_.After(kSummaryInterval, [this] { UpdateSummaries(); });
 }
 
-void Simulation::Violation(const std::string& name) {
+void Simulation::RecordViolation(const std::string& name) {
   ++result_.violations;
   if (result_.violation_names.size() < 10)
     result_.violation_names.push_back(name);
@@ -634,7 +655,7 @@
       if (options_.only_short && arrival.kind == RequestKind::kLong) continue;
       const Time time = arrival.time;
       scheduler_.At(time,
-                    [this, drawn = std::move(arrival)] { Arrive(drawn); });
+                    [this, drawn = std::move(arrival)] { OnArrival(drawn); });
     }
   }
   ScheduleFaults();
@@ -645,24 +666,26 @@
 }
 
 void Simulation::CheckAtEnd() {
-  if (!live_.empty()) Violation("requests without an end");
+  if (!active_.empty()) RecordViolation("requests never ended");
   for (const auto& pool : pools_) {
     const PolicyCounters counters = pool->policy->Counters();
     if (counters.violations > 0)
-      Violation("policy: " + std::string(counters.first_violation));
+      RecordViolation("policy: " + std::string(counters.first_violation));
     result_.counters.quarantines += counters.quarantines;
     if (!pool->policy->Requests(scheduler_.now()).empty())
-      Violation("the owner keeps a request that has ended");
+      RecordViolation("owner still tracks a request that has ended");
     for (const EndpointRow& row : pool->policy->Endpoints(scheduler_.now())) {
       if (row.running != 0 || row.reserved != 0 ||
           row.queued_prompt_tokens != Tokens(0))
-        Violation("reservations left");
+        RecordViolation("reservations not released");
     }
   }
   for (const auto& runner : runners_) {
-    const bool held = runner->decode ? runner->decode->running() > 0
-                                     : runner->prefill->retained() > 0;
-    if (held) Violation("engine memory left held");
+    const bool still_occupied = runner->decode
+                                    ? runner->decode->running() > 0
+                                    : runner->prefill->retained() > 0;
+    if (still_occupied)
+      RecordViolation("engine still holds slots or a KV cache");
   }
 }
 
--- a/tools/policy_bench/simulation.h
+++ b/tools/policy_bench/simulation.h
@@ -1,4 +1,5 @@
-// One run of one policy: pools, entry instances and callers in virtual time.
+// Runs one policy in virtual time against simulated pools, entry instances and
+// callers.
 #ifndef TOOLS_POLICY_BENCH_SIMULATION_H_
 #define TOOLS_POLICY_BENCH_SIMULATION_H_
 
@@ -38,15 +39,17 @@
   bool only_short = false;
 };
 
-/// Of the requests of one class.
+/// Results of the requests of one class.
 struct ClassResult {
   std::string name;
   std::uint64_t offered = 0;
+  /// Answered within the latency targets.
   std::uint64_t good = 0;
   std::vector<double> ttft_ms;
-  /// Of requests that ran in a pool which also serves the other class.
+  /// Only requests of services that serve both classes.
   std::vector<double> ttft_shared_ms;
-  /// Gaps between tokens, counted in tenths of a millisecond up to 1 s.
+  /// Histogram of gaps between tokens in buckets of 0.1 ms; the last one counts
+  /// gaps of 1 s and more.
   std::vector<std::uint64_t> gaps = std::vector<std::uint64_t>(10001);
 };
 
@@ -55,15 +58,16 @@
   std::uint64_t answered = 0;
   std::uint64_t good = 0;
   std::uint64_t refused_not_run = 0;
-  /// Refused or given up after an attempt had run.
+  /// Refused or given up after at least one attempt had started.
   std::uint64_t failed = 0;
-  /// Callers that left without a first token.
-  std::uint64_t left = 0;
-  /// By the caller as part of the fault; not part of `offered`.
+  /// Requests whose caller cancelled before the first token arrived.
+  std::uint64_t abandoned = 0;
+  /// Cancelled by the cancel-storm fault; not counted in `offered`.
   std::uint64_t cancelled = 0;
   std::int64_t prefilled_tokens = 0;
   std::int64_t wasted_tokens = 0;
-  /// Part of `wasted_tokens`: cancelled after the prefill was done.
+  /// Part of `wasted_tokens`: cancelled by the cancel-storm fault after the
+  /// prefill had finished.
   std::int64_t cancelled_after_prefill_tokens = 0;
   std::uint64_t violations = 0;
   PolicyCounters counters;
@@ -83,42 +87,47 @@
  private:
   struct Pool;
   struct Runner;
-  struct Live;
-  using LivePtr = std::shared_ptr<Live>;
+  struct ActiveRequest;
+  using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
 
   void BuildPools(const RoutingPolicyRegistry& registry);
   void AddRunner(Pool& pool, EndpointRole role, int number);
   void ScheduleFaults();
 
-  /// Runs one input of a policy, measures it and handles the outputs.
+  /// Passes one input to the policy, measures the decision time and handles the
+  /// outputs.
   template <typename Call>
   void Decide(Pool& pool, bool admission, Call call);
   void HandleOutput(Pool& pool, const RouteOutput& output);
   void ScheduleTick(Pool& pool);
-  /// Sends a message of the entry instance of `live` to its pool's owner.
+  /// Calls the policy of the pool's owner after the network delay from the
+  /// entry instance of `active`.
   template <typename Call>
-  void Tell(const LivePtr& live, Call call);
-
-  void Arrive(const Arrival& arrival);
-  void SendAdmit(const LivePtr& live);
-  /// The pool of another data centre to ask next; null when none is left.
-  Pool* NextPool(const Live& live) const;
-  void OnGrant(const LivePtr& live, const Grant& grant);
-  void OnRefusal(const LivePtr& live, const RouteRefusal& refusal);
-  void OnPrefilled(const LivePtr& live, const JobPtr& job);
-  void OnToken(const LivePtr& live, const JobPtr& job);
-  void Fail(const LivePtr& live, const JobPtr& job, const EndpointId& endpoint);
-  void CancelAtEngines(const LivePtr& live, const JobPtr& job);
-  void CallerCancels(const LivePtr& live, bool by_fault);
-  void End(const LivePtr& live);
-  Duration HopTo(const Live& live) const;
+  void SendToOwner(const ActiveRequestPtr& active, Call call);
+
+  void OnArrival(const Arrival& arrival);
+  void SendAdmit(const ActiveRequestPtr& active);
+  /// The unvisited pool of the service with the highest summary; null if there
+  /// is none. The current data centre counts as visited.
+  Pool* NextPool(const ActiveRequest& active) const;
+  void OnGrant(const ActiveRequestPtr& active, const Grant& grant);
+  void OnRefusal(const ActiveRequestPtr& active, const RouteRefusal& refusal);
+  void OnPrefilled(const ActiveRequestPtr& active, const JobPtr& job);
+  void OnToken(const ActiveRequestPtr& active, const JobPtr& job);
+  void Fail(const ActiveRequestPtr& active, const JobPtr& job,
+            const EndpointId& endpoint);
+  void CancelAtEngines(const ActiveRequestPtr& active, const JobPtr& job);
+  void CallerCancels(const ActiveRequestPtr& active, bool by_fault);
+  void End(const ActiveRequestPtr& active);
+  /// One-way delay from the entry instance to the pool's owner.
+  Duration HopTo(const ActiveRequest& active) const;
 
   void Announce(Runner& runner);
   void Kill(Runner& runner);
   void UpdateSummaries();
-  void Violation(const std::string& name);
+  void RecordViolation(const std::string& name);
   void CheckAtEnd();
-  void Account(const Live& live);
+  void RecordResult(const ActiveRequest& active);
   ClassTargets Targets(RequestKind kind) const;
 
   BenchOptions options_;
@@ -128,7 +137,7 @@
   std::vector<std::unique_ptr<FakeLink>> links_;
   std::vector<std::unique_ptr<Runner>> runners_;
   std::map<EndpointId, Runner*> by_id_;
-  std::map<RequestId, LivePtr> live_;
+  std::map<RequestId, ActiveRequestPtr> active_;
   Time measure_from_{};
   Time arrivals_end_{};
   std::uint64_t next_request_ = 0;
--- a/tools/policy_bench/workload.cc
+++ b/tools/policy_bench/workload.cc
@@ -1,4 +1,4 @@
-// Draws the request streams.
+// Generates the request streams of the deployments.
 #include "tools/policy_bench/workload.h"
 
 #include <fmt/format.h>
@@ -22,14 +22,15 @@
 constexpr std::uint64_t kTemplates = 20;
 constexpr std::size_t kSharedHashes = 3;
 constexpr std::int64_t kShortestPrefix = 256;
+
 /// Accounts differ in traffic: account i sends in proportion to 1 / (i + 1).
 int DrawAccount(Random& random, int accounts) {
   double total = 0;
   for (int i = 0; i < accounts; ++i) total += 1.0 / (i + 1);
-  double left = random.Unit() * total;
+  double remaining = random.Unit() * total;
   for (int i = 0; i < accounts; ++i) {
-    left -= 1.0 / (i + 1);
-    if (left < 0) return i;
+    remaining -= 1.0 / (i + 1);
+    if (remaining < 0) return i;
   }
   return accounts - 1;
 }
@@ -50,34 +51,36 @@
   return hashes;
 }
 
-/// Slot time of one request on a full engine. A prompt that the engine prefills
-/// itself stops all its slots meanwhile.
+/// Slot time of one request on a full engine. A decode engine that prefills
+/// a prompt itself blocks all its slots meanwhile.
 double SlotSeconds(const EngineModel& engine, bool prefills_locally,
                    double prompt, double output) {
   const double generated = output * ToSeconds(engine.Step(engine.slots));
-  const double stolen =
+  const double blocked =
       engine.slots * prompt / engine.prefill_tokens_per_second;
-  return generated + (prefills_locally ? stolen : 0);
+  return generated + (prefills_locally ? blocked : 0);
 }
 
-/// Stretches or compresses time so that the drawn slot time is exactly `load`
-/// times what the slots offer. Without it the random lengths and bursts of a
-/// short run make its load differ from the one asked for by several per cent.
+/// Scales the arrival times so that the drawn slot time is exactly `load` times
+/// the capacity of the slots. Without it the random lengths and bursts of a
+/// short run make its load differ from the requested load by several per cent.
 void ScaleToLoad(const DeploymentModel& model, int service, double load,
                  Time start, Time end, std::vector<Arrival>& arrivals) {
-  const ServiceModel& shape = model.services[static_cast<std::size_t>(service)];
+  const ServiceModel& service_model =
+      model.services[static_cast<std::size_t>(service)];
   const int slots =
-      model.data_centres * shape.decode_runners * model.engine.slots;
-  const double wanted = load * slots * ToSeconds(end - start);
-  double drawn = 0;
-  std::size_t used = 0;
-  for (; used < arrivals.size() && drawn < wanted; ++used) {
-    const Arrival& arrival = arrivals[used];
-    drawn += SlotSeconds(model.engine, arrival.kind == RequestKind::kShort,
-                         static_cast<double>(arrival.prompt),
-                         static_cast<double>(arrival.output));
+      model.data_centres * service_model.decode_runners * model.engine.slots;
+  const double target_seconds = load * slots * ToSeconds(end - start);
+  double drawn_seconds = 0;
+  std::size_t count = 0;
+  for (; count < arrivals.size() && drawn_seconds < target_seconds; ++count) {
+    const Arrival& arrival = arrivals[count];
+    drawn_seconds +=
+        SlotSeconds(model.engine, arrival.kind == RequestKind::kShort,
+                    static_cast<double>(arrival.prompt),
+                    static_cast<double>(arrival.output));
   }
-  arrivals.resize(used);
+  arrivals.resize(count);
   if (arrivals.empty()) return;
   const double scale =
       ToSeconds(end - start) / ToSeconds(arrivals.back().time - start);
@@ -109,8 +112,9 @@
   return model;
 }
 
-/// 600 runners: 19 long models with 1 + 3 runners and 8 short ones with 3, in
-/// each of 6 data centres.
+/// 600 runners: each of 6 data centres has 19 services of both classes with
+/// 1 prefill and 3 decode runners, and 8 short-class services with 3 decode
+/// runners.
 DeploymentModel Aim() {
   DeploymentModel model = Kaewmanee();
   model.name = "aim";
@@ -141,7 +145,7 @@
 std::int64_t LengthModel::Draw(Random& random) const {
   std::lognormal_distribution<double> distribution(std::log(median), sigma);
   const double drawn = distribution(random.engine());
-  return std::clamp(static_cast<std::int64_t>(drawn), least, most);
+  return std::clamp(static_cast<std::int64_t>(drawn), minimum, maximum);
 }
 
 double LengthModel::Mean() const {
@@ -153,11 +157,11 @@
 }
 
 double DeploymentModel::FullRate(const ServiceModel& service) const {
-  const double of_long = SlotSeconds(engine, false, 0, long_output.Mean());
-  const double of_short =
+  const double long_seconds = SlotSeconds(engine, false, 0, long_output.Mean());
+  const double short_seconds =
       SlotSeconds(engine, true, short_prompt.Mean(), short_output.Mean());
-  const double mean =
-      service.short_share * of_short + (1 - service.short_share) * of_long;
+  const double mean = service.short_share * short_seconds +
+                      (1 - service.short_share) * long_seconds;
   return data_centres * service.decode_runners * engine.slots / mean;
 }
 
@@ -174,12 +178,13 @@
 std::vector<Arrival> DrawArrivals(const DeploymentModel& model, int service,
                                   double load, Time start, Time end,
                                   std::uint64_t seed) {
-  const ServiceModel& shape = model.services[static_cast<std::size_t>(service)];
+  const ServiceModel& service_model =
+      model.services[static_cast<std::size_t>(service)];
   Random random(seed * 1000 + static_cast<std::uint64_t>(service));
-  const double rate = load * model.FullRate(shape);
+  const double rate = load * model.FullRate(service_model);
   const double calm_factor =
       1 - (kBurstFactor - 1) * kBurstSeconds / kCalmSeconds;
-  // Enough for ScaleToLoad, which cuts off the rest.
+  // Draws more than needed; ScaleToLoad cuts off the rest.
   const Time drawn_until = end + (end - start) / 2;
   std::vector<Arrival> arrivals;
   Time time = start;
@@ -190,7 +195,8 @@
     const Time next =
         time + FromSeconds(DrawExponential(random, 1 / (rate * factor)));
     if (next > phase_end) {
-      // Poisson arrivals have no memory: draw again in the next phase.
+      // Poisson arrivals are memoryless, so draw again at the next phase's
+      // rate.
       time = phase_end;
       burst = !burst;
       phase_end = time + FromSeconds(DrawExponential(
@@ -205,7 +211,7 @@
     arrival.service = service;
     arrival.data_centre = static_cast<int>(
         random.Below(static_cast<std::uint64_t>(model.data_centres)));
-    const bool is_short = random.Chance(shape.short_share);
+    const bool is_short = random.Chance(service_model.short_share);
     arrival.kind = is_short ? RequestKind::kShort : RequestKind::kLong;
     arrival.account = DrawAccount(random, model.accounts);
     arrival.prompt =
--- a/tools/policy_bench/workload.h
+++ b/tools/policy_bench/workload.h
@@ -1,5 +1,5 @@
-// Deployments and their request streams. The constants are described in
-// docs/operators/measures.md.
+// Models of deployments and their request streams. The constants are described
+// in docs/operators/measures.md.
 #ifndef TOOLS_POLICY_BENCH_WORKLOAD_H_
 #define TOOLS_POLICY_BENCH_WORKLOAD_H_
 
@@ -13,12 +13,13 @@
 
 namespace cassiausher {
 
-/// Engine model, the same for all deployments.
+/// Capacity and timing of an engine. All deployments use these values, but
+/// those with a single pool scale the link rate.
 struct EngineModel {
   /// A decode step takes step_base + batch * step_per_request; 34 ms at 20.
   Duration step_base = Milliseconds(18);
   Duration step_per_request = Duration(800);
-  /// Prompt tokens that a step of a decode engine prefills at most.
+  /// Most prompt tokens that a decode engine prefills in one step.
   std::int64_t chunk_tokens = 256;
   double prefill_tokens_per_second = 40000;
   Duration prefill_overhead = Milliseconds(5);
@@ -27,7 +28,7 @@
   std::int64_t kv_capacity_bytes = 120'000'000'000;
   double link_bytes_per_second = 12.5e9;
   Duration kv_retention = Milliseconds(800);
-  /// Prompt tokens whose prefixes an engine keeps.
+  /// Size of the prefix cache of an engine, in prompt tokens.
   std::int64_t prefix_cache_tokens = 200'000;
 
   Duration Step(int batch) const {
@@ -35,14 +36,17 @@
   }
 };
 
+/// Log-normal distribution of lengths in tokens, clamped to
+/// [minimum, maximum].
 struct LengthModel {
   double median = 1;
   double sigma = 0.5;
-  std::int64_t least = 1;
-  std::int64_t most = 1;
+  std::int64_t minimum = 1;
+  std::int64_t maximum = 1;
 
   std::int64_t Draw(Random& random) const;
-  /// By simulation with a fixed seed, as the bounds cut the tails off.
+  /// Estimated from samples with a fixed seed, since the bounds clamp the
+  /// tails.
   double Mean() const;
 };
 
@@ -68,15 +72,15 @@
   int accounts = 40;
   EngineModel engine;
 
-  /// Requests a second, over all data centres, at which the decode slots of
+  /// Requests per second, over all data centres, at which the decode slots of
   /// the service are exactly full.
   double FullRate(const ServiceModel& service) const;
 };
 
-/// Returns false if the name is unknown.
+/// Returns false if no deployment has this name.
 bool FindDeployment(const std::string& name, DeploymentModel* model);
 
-/// One request as drawn; the policy does not see `output`.
+/// One generated request; the policy does not see `output`.
 struct Arrival {
   Time time{};
   int service = 0;
@@ -88,8 +92,9 @@
   std::vector<std::uint64_t> prefix_hashes;
 };
 
-/// All arrivals of one service from `start` to `end`. Poisson with bursts: the
-/// rate alternates between kBurstFactor times the mean and the rest.
+/// All arrivals of one service from `start` to `end`: a Poisson process whose
+/// rate alternates between bursts of kBurstFactor times the mean and calm
+/// phases with a lower rate, so that the mean is kept.
 std::vector<Arrival> DrawArrivals(const DeploymentModel& model, int service,
                                   double load, Time start, Time end,
                                   std::uint64_t seed);
