--- a/tools/ctl/admin_client.cc
+++ b/tools/ctl/admin_client.cc
@@ -1,4 +1,4 @@
-// Synchronous HTTP calls on libsoup.
+// Synchronous HTTP requests with libsoup.
 #include "tools/ctl/admin_client.h"
 
 #include <libsoup/soup.h>
@@ -8,7 +8,7 @@
 namespace cassiausher {
 namespace {
 
-// A change waits for others before it, then for staging and confirmation.
+// A change waits for earlier changes, then for its staging and confirmation.
 constexpr guint kTimeoutSeconds = 60;
 
 }  // namespace
@@ -49,16 +49,16 @@
                                              bytes.get());
   }
   GError* raw_error = nullptr;
-  const GBytesPtr answer(soup_session_send_and_read(
+  const GBytesPtr response(soup_session_send_and_read(
       session_.get(), message.get(), nullptr, &raw_error));
   const GErrorPtr error(raw_error);
-  if (answer == nullptr) return Unreachable{url_ + ": " + error->message};
+  if (response == nullptr) return Unreachable{url_ + ": " + error->message};
   gsize size = 0;
-  const void* data = g_bytes_get_data(answer.get(), &size);
-  return HttpAnswer{static_cast<int>(soup_message_get_status(message.get())),
-                    size == 0
-                        ? std::string()
-                        : std::string(static_cast<const char*>(data), size)};
+  const void* data = g_bytes_get_data(response.get(), &size);
+  return HttpResponse{static_cast<int>(soup_message_get_status(message.get())),
+                      size == 0
+                          ? std::string()
+                          : std::string(static_cast<const char*>(data), size)};
 }
 
 }  // namespace cassiausher
--- a/tools/ctl/admin_client.h
+++ b/tools/ctl/admin_client.h
@@ -1,4 +1,4 @@
-// Calls of the admin interface, one after the other.
+// Synchronous client of the admin API.
 #ifndef TOOLS_CTL_ADMIN_CLIENT_H_
 #define TOOLS_CTL_ADMIN_CLIENT_H_
 
@@ -11,21 +11,22 @@
 
 namespace cassiausher {
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   std::string body;
 };
 
-/// The instance gave no answer.
+/// No HTTP response was received, or the URL is invalid.
 struct Unreachable {
   std::string reason;
 };
 
-using AdminResult = std::variant<HttpAnswer, Unreachable>;
+using AdminResult = std::variant<HttpResponse, Unreachable>;
 
 class AdminClient {
  public:
-  /// `url` is the admin URL of an instance; an empty `token` sends none.
+  /// `url` is the admin URL of an instance; an empty `token` sends no
+  /// Authorization header.
   AdminClient(std::string url, std::string token);
   ~AdminClient();
 
--- a/tools/ctl/command.cc
+++ b/tools/ctl/command.cc
@@ -1,4 +1,4 @@
-// Arguments, calls, output and exit codes of cassiausherctl.
+// Argument parsing, admin requests, output and exit codes of cassiausherctl.
 #include "tools/ctl/command.h"
 
 #include <docopt/docopt.h>
@@ -63,7 +63,8 @@
   }
 }
 
-/// The first line of the file, without the end of line.
+/// Reads the first line of the file without trailing spaces and carriage
+/// returns.
 std::optional<std::string> ReadToken(const std::string& file) {
   std::ifstream stream(file);
   std::string token;
@@ -83,16 +84,16 @@
         err_(err) {}
 
   int ShowState() {
-    const auto answer = Receive(client_.Get("/admin/v1/state"));
-    if (!answer) return failure_;
-    out_ << answer->dump(options_.as_json ? -1 : 2) << "\n";
+    const auto response = ParseResponse(client_.Get("/admin/v1/state"));
+    if (!response) return failure_;
+    out_ << response->dump(options_.as_json ? -1 : 2) << "\n";
     return kExitDone;
   }
 
   int Run(const std::string& text) {
     const Statement statement = ParseStatement(text);
     if (const auto* findings = std::get_if<Findings>(&statement)) {
-      return RefuseSyntax(*findings);
+      return ReportSyntaxErrors(*findings);
     }
     if (const auto* help = std::get_if<HelpRequest>(&statement)) {
       out_ << HelpText(help->topic);
@@ -106,7 +107,7 @@
   }
 
  private:
-  int RefuseSyntax(const Findings& findings) {
+  int ReportSyntaxErrors(const Findings& findings) {
     if (options_.as_json) {
       Json list = Json::array();
       for (const Finding& finding : findings.items()) {
@@ -120,16 +121,16 @@
   }
 
   int ShowRows(const Query& query, const AdminResult& result) {
-    const auto answer = Receive(result);
-    if (!answer) return failure_;
+    const auto response = ParseResponse(result);
+    if (!response) return failure_;
     if (options_.as_json) {
-      out_ << answer->dump() << "\n";
+      out_ << response->dump() << "\n";
       return kExitDone;
     }
-    const Json rows = answer->value("rows", Json::array());
-    if (!rows.is_array()) return NotUnderstood();
+    const Json rows = response->value("rows", Json::array());
+    if (!rows.is_array()) return ReportUnexpectedResponse();
     out_ << FormatTable(*FindTable(query.table), rows);
-    for (const Json& name : answer->value("unanswered", Json::array())) {
+    for (const Json& name : response->value("unanswered", Json::array())) {
       out_ << "unanswered: "
            << (name.is_string() ? name.get<std::string>() : name.dump())
            << "\n";
@@ -138,18 +139,18 @@
   }
 
   int ShowChange(const AdminResult& result) {
-    const auto answer = Receive(result);
-    if (!answer) return failure_;
-    const auto accepted = answer->find("accepted");
-    if (accepted == answer->end() || !accepted->is_boolean()) {
-      return NotUnderstood();
+    const auto response = ParseResponse(result);
+    if (!response) return failure_;
+    const auto accepted = response->find("accepted");
+    if (accepted == response->end() || !accepted->is_boolean()) {
+      return ReportUnexpectedResponse();
     }
     const bool is_accepted = accepted->get<bool>();
-    if (options_.as_json) out_ << answer->dump() << "\n";
-    PrintChangeFindings(answer->value("findings", Json::array()));
+    if (options_.as_json) out_ << response->dump() << "\n";
+    PrintChangeFindings(response->value("findings", Json::array()));
     if (options_.as_json) return is_accepted ? kExitDone : kExitRefused;
-    const Json revision = answer->value("revision", Json());
-    const Json in_force = answer->value("in_force", Json(false));
+    const Json revision = response->value("revision", Json());
+    const Json in_force = response->value("in_force", Json(false));
     const char* state = !is_accepted       ? "refused"
                         : in_force == true ? "accepted, in force"
                                            : "accepted, not yet in force "
@@ -171,23 +172,24 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
   }
 
-  /// The JSON object of a successful answer; otherwise prints the reason.
-  std::optional<Json> Receive(const AdminResult& result) {
+  /// Returns the JSON object of a successful response; otherwise prints the
+  /// reason and sets `failure_`.
+  std::optional<Json> ParseResponse(const AdminResult& result) {
     if (const auto* unreachable = std::get_if<Unreachable>(&result)) {
       err_ << "not reachable: " << unreachable->reason << "\n";
       failure_ = kExitUnreachable;
       return std::nullopt;
     }
-    const auto& answer = std::get<HttpAnswer>(result);
-    Json body = Json::parse(answer.body, nullptr, false);
-    if (answer.status == 200 && body.is_object()) return body;
-    if (answer.status == 200) {
-      NotUnderstood();
+    const auto& response = std::get<HttpResponse>(result);
+    Json body = Json::parse(response.body, nullptr, false);
+    if (response.status == 200 && body.is_object()) return body;
+    if (response.status == 200) {
+      ReportUnexpectedResponse();
       return std::nullopt;
     }
     if (options_.as_json && body.is_object()) out_ << body.dump() << "\n";
     failure_ = kExitRefused;
-    err_ << "refused with status " << answer.status << Reason(body) << "\n";
+    err_ << "refused with status " << response.status << Reason(body) << "\n";
     return std::nullopt;
   }
 
@@ -204,8 +206,8 @@
     return reason.empty() ? "" : ": " + reason;
   }
 
-  int NotUnderstood() {
-    err_ << "the answer is not of the admin interface\n";
+  int ReportUnexpectedResponse() {
+    err_ << "unexpected response: not from the admin API\n";
     failure_ = kExitRefused;
     return failure_;
   }
@@ -225,7 +227,7 @@
 }
 
 int GenerateKeys(std::ostream& out, std::ostream& err) {
-  // Z85 of 32 bytes and the end of the text.
+  // A 32-byte key in Z85 takes 40 characters, plus the terminating null.
   std::array<char, 41> public_key{};
   std::array<char, 41> secret_key{};
   if (zmq_curve_keypair(public_key.data(), secret_key.data()) != 0) {
--- a/tools/ctl/command.h
+++ b/tools/ctl/command.h
@@ -1,4 +1,4 @@
-// The command line of cassiausherctl.
+// Command-line interface of cassiausherctl.
 #ifndef TOOLS_CTL_COMMAND_H_
 #define TOOLS_CTL_COMMAND_H_
 
@@ -10,11 +10,13 @@
 
 enum ExitCode : int {
   kExitDone = 0,
-  /// The instance refused the statement, or an answer wasn't understood.
+  /// The instance refused the statement or sent an unexpected response, or
+  /// libzmq lacks CURVE.
   kExitRefused = 1,
-  /// Wrong arguments or a statement that isn't of the language.
+  /// Wrong arguments, an unreadable token file or a syntax error in the
+  /// statement.
   kExitUsage = 2,
-  /// The instance gave no answer.
+  /// No HTTP response was received, or the URL is invalid.
   kExitUnreachable = 3,
 };
 
--- a/tools/ctl/table_format.cc
+++ b/tools/ctl/table_format.cc
@@ -1,4 +1,4 @@
-// Layout of tables.
+// Formats query rows as an aligned text table.
 #include "tools/ctl/table_format.h"
 
 #include <fmt/format.h>
@@ -14,6 +14,7 @@
   bool is_number = false;
 };
 
+/// Replaces control characters by spaces.
 std::string Printable(std::string text) {
   for (char& c : text) {
     const auto byte = static_cast<unsigned char>(c);
@@ -22,7 +23,7 @@
   return text;
 }
 
-/// Code points; a byte that continues one doesn't count.
+/// Number of code points: UTF-8 continuation bytes don't count.
 std::size_t Width(const std::string& text) {
   return static_cast<std::size_t>(std::count_if(
       text.begin(), text.end(),
@@ -83,8 +84,8 @@
   for (const auto& row : rows) {
     std::vector<Cell> cells;
     for (const auto& name : names) {
-      const bool has_it = row.is_object() && row.contains(name);
-      cells.push_back(ToCell(has_it ? row[name] : nlohmann::json()));
+      const bool has_value = row.is_object() && row.contains(name);
+      cells.push_back(ToCell(has_value ? row[name] : nlohmann::json()));
     }
     lines.push_back(std::move(cells));
   }
@@ -94,7 +95,7 @@
       widths[i] = std::max(widths[i], Width(cells[i].text));
     }
   }
-  // A heading is aligned as the values below it.
+  // Aligns each heading like the value in the first row.
   for (std::size_t i = 0; lines.size() > 1 && i < names.size(); ++i) {
     lines[0][i].is_number = lines[1][i].is_number;
   }
--- a/tools/ctl/table_format.h
+++ b/tools/ctl/table_format.h
@@ -1,4 +1,4 @@
-// Tables for people from the JSON rows of a query answer.
+// Formats the JSON rows of a query response as a text table.
 #ifndef TOOLS_CTL_TABLE_FORMAT_H_
 #define TOOLS_CTL_TABLE_FORMAT_H_
 
@@ -9,9 +9,10 @@
 
 namespace cassiausher {
 
-/// Columns in the order of `table`, then those it lacks; columns that no row
-/// has are left out. Numbers are aligned to the right. Control characters are
-/// replaced, so that a value can't move the cursor.
+/// Lists the columns in the order of `table`, then those that only the rows
+/// have; columns that no row has are omitted. Numbers are right-aligned.
+/// Control characters are replaced by spaces, so that a value can't move the
+/// cursor.
 std::string FormatTable(const Table& table, const nlohmann::json& rows);
 
 }  // namespace cassiausher
