--- a/tests/tools/ctl_test.cc
+++ b/tests/tools/ctl_test.cc
@@ -1,5 +1,5 @@
-// Guards the calls, the output and the exit codes of cassiausherctl against a
-// stand-in for the admin interface on loopback.
+// Checks the requests, output and exit codes of cassiausherctl against a fake
+// admin server on loopback.
 #include <libsoup/soup.h>
 
 #include <fstream>
@@ -18,10 +18,11 @@
 
 namespace {
 
-/// Answers each path with a fixed status and body, on a thread of its own.
-class AdminStandIn {
+/// Answers each method and path with a fixed status and body, on its own
+/// thread.
+class FakeAdminServer {
  public:
-  AdminStandIn() : context_(g_main_context_new()) {
+  FakeAdminServer() : context_(g_main_context_new()) {
     g_main_context_push_thread_default(context_);
     server_.reset(soup_server_new(nullptr, nullptr));
     soup_server_add_handler(server_.get(), nullptr, Handle, this, nullptr);
@@ -41,8 +42,9 @@
     });
   }
 
-  ~AdminStandIn() {
-    // Quits inside the loop: a quit before the loop runs would be lost.
+  ~FakeAdminServer() {
+    // Quits from inside the loop, since a quit before the loop runs has no
+    // effect.
     g_main_context_invoke(
         context_,
         [](gpointer loop) {
@@ -58,7 +60,7 @@
   }
 
   std::string url;
-  /// Set before the calls: status and body by "METHOD path".
+  /// Status and body by "METHOD path"; set before the requests.
   std::map<std::string, std::pair<int, std::string>> answers;
   std::string last_body;
   std::string last_token;
@@ -66,16 +68,16 @@
  private:
   static void Handle(SoupServer*, SoupServerMessage* message, const char* path,
                      GHashTable*, gpointer self) {
-    auto* stand_in = static_cast<AdminStandIn*>(self);
+    auto* fake = static_cast<FakeAdminServer*>(self);
     SoupMessageBody* body = soup_server_message_get_request_body(message);
-    stand_in->last_body.assign(body->data == nullptr ? "" : body->data,
-                               static_cast<std::size_t>(body->length));
+    fake->last_body.assign(body->data == nullptr ? "" : body->data,
+                           static_cast<std::size_t>(body->length));
     const char* token = soup_message_headers_get_one(
         soup_server_message_get_request_headers(message), "Authorization");
-    stand_in->last_token = token == nullptr ? "" : token;
+    fake->last_token = token == nullptr ? "" : token;
     const std::string call =
         std::string(soup_server_message_get_method(message)) + " " + path;
-    const auto [status, text] = stand_in->answers[call];
+    const auto [status, text] = fake->answers[call];
     soup_server_message_set_status(message, status, nullptr);
     soup_server_message_set_response(message, "application/json",
                                      SOUP_MEMORY_COPY, text.data(),
@@ -108,8 +110,10 @@
 
 TEST_GROUP(Ctl){};
 
-TEST(Ctl, QueryIsShownAsATable) {
-  AdminStandIn server;
+// Guards against misaligned columns, raw control characters, and columns or
+// names of unanswered data centres that are missing from the table.
+TEST(Ctl, QueryPrintsRowsAsAlignedTable) {
+  FakeAdminServer server;
   server.answers[kQuery] = {
       200,
       R"({"revision":3,"rows":[{"id":"กa","late_ms":250.5,"stage":"decode"},)"
@@ -128,8 +132,10 @@
   STRCMP_EQUAL("Bearer secret", server.last_token.c_str());
 }
 
-TEST(Ctl, JsonIsPassedOnForPrograms) {
-  AdminStandIn server;
+// Guards against a JSON output that differs from the response, which programs
+// parse.
+TEST(Ctl, JsonFormatPrintsResponseBody) {
+  FakeAdminServer server;
   server.answers[kQuery] = {200, R"({"revision":3,"rows":[]})"};
   const auto output =
       Run({"--at", server.url, "--format", "json", "show requests"});
@@ -137,9 +143,10 @@
   STRCMP_EQUAL("{\"revision\":3,\"rows\":[]}\n", output.out.c_str());
 }
 
-// A script that goes on after a refused change would believe it made.
-TEST(Ctl, RefusedChangeExitsWithOneAndTheReason) {
-  AdminStandIn server;
+// Guards against an exit code of 0 for a refused change, after which a script
+// would go on as if the change had been made.
+TEST(Ctl, RefusedChangeExitsWithOneAndPrintsReason) {
+  FakeAdminServer server;
   const char* change = "change id \"c-1\" { drain endpoint \"r3\" }";
   server.answers[kChange] = {
       200, R"({"accepted":false,"revision":4,"in_force":false,"findings":)"
@@ -163,8 +170,10 @@
   LONGS_EQUAL(kExitRefused, Run({"--at", server.url, change}).code);
 }
 
-TEST(Ctl, WrongSyntaxAndUsageExitWithTwoWithoutACall) {
-  AdminStandIn server;
+// Guards against sending a statement with a syntax error, and against other
+// exit codes for wrong arguments.
+TEST(Ctl, SyntaxAndUsageErrorsExitWithTwoWithoutRequest) {
+  FakeAdminServer server;
   const auto syntax = Run({"--at", server.url, "show", "colours"});
   LONGS_EQUAL(kExitUsage, syntax.code);
   CHECK(syntax.err.starts_with("line 1 column 6: unknown table"));
@@ -178,10 +187,11 @@
       Run({"--at", "x", "--token-file", "/nowhere", "show requests"}).code);
 }
 
+// Guards against reporting a connection failure or an invalid URL as a refusal.
 TEST(Ctl, UnreachableInstanceExitsWithThree) {
   std::string url;
   {
-    AdminStandIn server;
+    FakeAdminServer server;
     url = server.url;
   }
   const auto output = Run({"--at", url, "state"});
@@ -190,8 +200,9 @@
   LONGS_EQUAL(kExitUnreachable, Run({"--at", "nonsense", "state"}).code);
 }
 
-TEST(Ctl, StateHelpVersionAndCompletion) {
-  AdminStandIn server;
+// Guards against empty or wrong output of the commands that take no statement.
+TEST(Ctl, StateHelpVersionAndCompletionPrintTheirText) {
+  FakeAdminServer server;
   server.answers["GET /admin/v1/state"] = {200, R"({"a":1})"};
   STRCMP_EQUAL("{\n  \"a\": 1\n}\n",
                Run({"--at", server.url, "state"}).out.c_str());
