--- a/tools/policy_bench/simulation.cc
+++ b/tools/policy_bench/simulation.cc
@@ -20,18 +20,21 @@
 constexpr Duration kCrossDataCentreHop = Milliseconds(1);
 constexpr Duration kAnnounceInterval = Seconds(1);
 constexpr Duration kSummaryInterval = Milliseconds(250);
+/// Time from the crash of a runner to its removal by the owner and to its
+/// restart.
 constexpr Duration kRemovalDelay = Seconds(3);
 constexpr Duration kRestartDelay = Seconds(10);
 constexpr int kMaxAttempts = 4;
 /// A caller cancels if it has no first token after this many times the target.
 constexpr int kCallerPatience = 3;
+/// A request misses its target if a larger share of its token gaps is too long.
 constexpr double kMaxLateGapShare = 0.05;
 constexpr double kCacheEventLossRate = 0.1;
 
 constexpr Duration kDecodeDeathInterval = Seconds(60);
 constexpr Duration kPrefillDeathInterval = Seconds(30);
 constexpr Duration kLinkStallInterval = Seconds(20);
-constexpr Duration kLinkStall = Seconds(1);
+constexpr Duration kLinkStallDuration = Seconds(1);
 constexpr Duration kCancelStormInterval = Seconds(10);
 constexpr double kCancelStormShare = 0.25;
 
@@ -610,8 +613,9 @@
   } else if (options_.fault == FaultKind::kPrefillDeath) {
     repeat(kPrefillDeathInterval, [=] { kill_one(EndpointRole::kPrefill); });
   } else if (options_.fault == FaultKind::kLinkStall) {
-    repeat(kLinkStallInterval,
-           [this] { links_[random_.Below(links_.size())]->Stall(kLinkStall); });
+    repeat(kLinkStallInterval, [this] {
+      links_[random_.Below(links_.size())]->Stall(kLinkStallDuration);
+    });
   } else if (options_.fault == FaultKind::kCancelStorm) {
     repeat(kCancelStormInterval, [this] {
       std::vector<ActiveRequestPtr> chosen;
