--- a/scripts/check_docs.py
+++ b/scripts/check_docs.py
@@ -2,8 +2,8 @@
 
 - Runs every shell block that follows a line `<!-- run -->`, as written.
 - Every metric and log event in the code is in docs/operators/metrics.md, and
-  the other way round.
-- Every relative link leads to a file.
+  vice versa.
+- The target of every relative link exists.
 """
 
 import pathlib
@@ -29,23 +29,24 @@
 
 
 def run_blocks():
-    faults = []
+    errors = []
     count = 0
     for page in documents():
         for block in BLOCK.findall(page.read_text()):
             count += 1
-            done = subprocess.run(["bash", "-euo", "pipefail", "-c", block], cwd=ROOT, capture_output=True, text=True,
+            result = subprocess.run(["bash", "-euo", "pipefail", "-c", block], cwd=ROOT, capture_output=True, text=True,
                                   timeout=TIMEOUT_S)
-            if done.returncode != 0:
-                faults.append(f"{page.relative_to(ROOT)}: a block ends with {done.returncode}\n{block}\n{done.stderr}")
+            if result.returncode != 0:
+                errors.append(f"{page.relative_to(ROOT)}: a shell block exited with status {result.returncode}\n{block}\n"
+                              f"{result.stderr}")
     if count == 0:
-        faults.append("no document has a block to run")
-    return faults
+        errors.append("no document contains a shell block to run")
+    return errors
 
 
 def compare(kind, in_code, in_page):
-    faults = [f"{METRICS_PAGE.name} lacks the {kind} {name}" for name in sorted(in_code - in_page)]
-    return faults + [f"{METRICS_PAGE.name} names the {kind} {name}, which the code doesn't have"
+    errors = [f"{METRICS_PAGE.name} does not list the {kind} {name}" for name in sorted(in_code - in_page)]
+    return errors + [f"{METRICS_PAGE.name} lists the {kind} {name}, which the code does not define"
                      for name in sorted(in_page - in_code)]
 
 
@@ -62,20 +63,20 @@
 
 
 def check_links():
-    faults = []
+    errors = []
     for page in documents():
         for link in LINK.findall(page.read_text()):
             if not (page.parent / link).exists():
-                faults.append(f"{page.relative_to(ROOT)}: {link} does not exist")
-    return faults
+                errors.append(f"{page.relative_to(ROOT)}: {link} does not exist")
+    return errors
 
 
 def main():
-    faults = check_metrics() + check_links() + run_blocks()
-    for fault in faults:
-        print(fault)
-    print(f"documents: {len(faults)} faults")
-    return 1 if faults else 0
+    errors = check_metrics() + check_links() + run_blocks()
+    for error in errors:
+        print(error)
+    print(f"documents: {len(errors)} errors")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,8 @@
-"""Runs both reference deployments for a few seconds and prints their figures.
+"""Runs both reference deployments for a few seconds and prints their results.
 
-Goodput, latencies and violations come from callers against live processes;
-wasted prefill comes from the policy bench, which sees every prompt token.
+Goodput, latencies and violations are measured by callers of live processes;
+wasted prefill comes from the policy bench, which accounts for every prompt
+token.
 """
 
 import json
@@ -18,7 +19,7 @@
 
 
 def live(deployment):
-    report = live_bench.run("demo", deployment, RATE, SECONDS, live_bench.nothing, seed=1, callers=())
+    report = live_bench.run("demo", deployment, RATE, SECONDS, live_bench.no_faults, seed=1, callers=())
     print(f"{deployment}: {RATE} requests/s for {SECONDS} s through live processes")
     print(f"  {'service':<20}{'goodput':>9}{'first token p50/p95/p99 ms':>30}{'between tokens p50/p95 ms':>28}")
     for row in report["services"]:
@@ -41,11 +42,11 @@
 
 
 def main():
-    good = True
+    passed = True
     for deployment in ("kaewmanee", "association"):
-        good = live(deployment) and good
-        good = bench(deployment) and good
-    return 0 if good else 1
+        passed = live(deployment) and passed
+        passed = bench(deployment) and passed
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/scripts/explain_request.py
+++ b/scripts/explain_request.py
@@ -4,22 +4,22 @@
     scripts/explain_request.py REQUEST_ID LOG...
 
 A log is the standard output of cassiausher_node, with or without a prefix before
-each JSON object. Lines about the request come in time order with the time since
-the first. After them come the changes of belief that concern the endpoints that
-the request used, from a second before it began until it ended. A log that is cut
-inside a line is read up to the cut, and the cut is said.
+each JSON object. Entries of the request are printed in time order with the time
+since the first. After them come the logged state changes of the endpoints that
+the request used, from a second before it began until it ended. A truncated or
+malformed line is skipped with a warning.
 """
 
 import json
 import sys
 
-# Beliefs older than this before a request hardly explain it.
-BEFORE_MS = 1000
-PLUMBING = {"time_ms", "level", "event", "request", "instance"}
+# State changes longer than this before a request are rarely related to it.
+STATE_CHANGE_WINDOW_MS = 1000
+OMITTED_FIELDS = {"time_ms", "level", "event", "request", "instance"}
 
 
 def read_log(path):
-    """Yields the objects of a log; says which lines it can't read."""
+    """Yields the objects of a log; warns of each line that isn't valid JSON."""
     with open(path, errors="replace") as log:
         for number, line in enumerate(log, 1):
             start = line.find("{")
@@ -28,29 +28,29 @@
             try:
                 entry = json.loads(line[start:])
             except ValueError:
-                print(f"{path}:{number}: not a whole line, left out", file=sys.stderr)
+                print(f"{path}:{number}: incomplete or malformed line skipped", file=sys.stderr)
                 continue
             if isinstance(entry, dict) and "event" in entry:
                 yield entry
 
 
 def describe(entry, start_ms):
-    fields = " ".join(f"{key}={value}" for key, value in entry.items() if key not in PLUMBING and value != "")
+    fields = " ".join(f"{key}={value}" for key, value in entry.items() if key not in OMITTED_FIELDS and value != "")
     return f"{entry['time_ms'] - start_ms:8d} ms  {entry['instance']:<24} {entry['event']:<20} {fields}"
 
 
 def explain(request, entries):
-    own = [entry for entry in entries if entry.get("request") == request]
-    if not own:
+    request_entries = [entry for entry in entries if entry.get("request") == request]
+    if not request_entries:
         return None
-    start, end = own[0]["time_ms"], own[-1]["time_ms"]
-    endpoints = {entry["endpoint"] for entry in own if "endpoint" in entry}
-    beliefs = [entry for entry in entries
+    start, end = request_entries[0]["time_ms"], request_entries[-1]["time_ms"]
+    endpoints = {entry["endpoint"] for entry in request_entries if "endpoint" in entry}
+    state_changes = [entry for entry in entries
                if "request" not in entry and entry.get("endpoint") in endpoints
-               and start - BEFORE_MS <= entry["time_ms"] <= end]
-    lines = [f"request {request}"] + [describe(entry, start) for entry in own]
-    if beliefs:
-        lines += ["beliefs about its endpoints"] + [describe(entry, start) for entry in beliefs]
+               and start - STATE_CHANGE_WINDOW_MS <= entry["time_ms"] <= end]
+    lines = [f"request {request}"] + [describe(entry, start) for entry in request_entries]
+    if state_changes:
+        lines += ["state changes of its endpoints"] + [describe(entry, start) for entry in state_changes]
     return "\n".join(lines)
 
 
@@ -63,7 +63,7 @@
     entries.sort(key=lambda entry: entry["time_ms"])
     text = explain(request, entries)
     if text is None:
-        print(f"no line about request {request}", file=sys.stderr)
+        print(f"no log entry for request {request}", file=sys.stderr)
         return 1
     print(text)
     return 0
--- a/scripts/live_bench.py
+++ b/scripts/live_bench.py
@@ -2,9 +2,9 @@
 
 Usage: live_bench.py [--quick] [--only NAME[,NAME…]] [--seed N] [--report FILE]
 
-Each run starts a deployment, puts load on it, causes its faults, lets the load
+Each run starts a deployment, generates load, injects its faults, lets the load
 tool check the recorded history against the invariants, and stops the
-deployment. The exit code is 1 when a run had a violation.
+deployment. The exit code is 1 when a run failed.
 """
 
 import argparse
@@ -21,14 +21,14 @@
 
 import local_deployment as local
 
-MIX = {
+SERVICES = {
     "kaewmanee": ("fitting-assistant", "kiosk-lookup", "stock"),
     "association": ("registry-assistant", "member-lookup", "allocations"),
 }
 
 
 class Deployment:
-    """A running deployment and the faults that a run causes in it."""
+    """A running deployment, with methods that inject faults into it."""
 
     def __init__(self, name, relays=False):
         self.name = name
@@ -66,17 +66,17 @@
         os.kill(self.pid(name), signal.SIGKILL)
         self.wait_gone(name)
         time.sleep(back_after)
-        local.start_again(self.folder, name)
+        local.restart_process(self.folder, name)
 
     def terminate(self, name):
         self.record("term", name)
         os.kill(self.pid(name), signal.SIGTERM)
         self.wait_gone(name)
-        local.start_again(self.folder, name)
+        local.restart_process(self.folder, name)
 
     def wait_gone(self, name, seconds=60):
         deadline = time.monotonic() + seconds
-        while local.process_runs(self.pid(name)):
+        while local.is_running(self.pid(name)):
             if time.monotonic() > deadline:
                 raise RuntimeError(f"{name} did not end in {seconds} s")
             time.sleep(0.02)
@@ -89,7 +89,7 @@
         for name in names:
             os.kill(self.pid(name), signal.SIGCONT)
 
-    def fake(self, name, fault):
+    def set_fake_fault(self, name, fault):
         url = next(e["url"] for e in self.entries()["endpoints"] if e["name"] == name)
         self.record("fake", name)
         local.call(url + "/fake/fault", None, fault)
@@ -112,12 +112,13 @@
         return local.call(f"{instance['admin_url']}/admin/v1/{path}", self.token("admin"), {"text": text}, timeout)
 
 
-# Callers that leave, come back with the same key, and bill: they cost goodput by their own doing.
+# Callers that cancel, retry with the same idempotency key, or send non-idempotent requests; they lower goodput
+# themselves.
 DISTURBING_CALLERS = ("--cancel-share", "0.05", "--retry-share", "0.2", "--non-idempotent-share", "0.3")
 
 
 def load(deployment, seconds, rate, seed, callers):
-    long, short, plain = MIX[deployment.name]
+    long, short, plain = SERVICES[deployment.name]
     command = [
         str(local.BIN / "cassiausher_load"), "--addresses", str(deployment.folder / "addresses.json"),
         "--token-file", str(deployment.folder / "caller.token"), "--rate", str(rate), "--seconds", str(seconds),
@@ -131,12 +132,12 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
 
-def run(name, deployment_name, rate, seconds, actions, seed, relays=False, callers=DISTURBING_CALLERS):
+def run(name, deployment_name, rate, seconds, inject_faults, seed, relays=False, callers=DISTURBING_CALLERS):
     deployment = Deployment(deployment_name, relays)
     try:
         process = load(deployment, seconds, rate, seed, callers)
         time.sleep(min(3, seconds / 4))
-        findings = actions(deployment) or []
+        findings = inject_faults(deployment) or []
         output, _ = process.communicate(timeout=seconds + 180)
         report = json.loads(output) if output.strip().startswith("{") else {"text": output}
         report["run"] = name
@@ -159,7 +160,7 @@
 # ---- Faults of the runs ----------------------------------------------------
 
 
-def nothing(_):
+def no_faults(_):
     return []
 
 
@@ -172,7 +173,7 @@
 
 
 def kill_two(deployment):
-    """The second goes right after the first is back."""
+    """Kills the second instance right after the first has been restarted."""
     names = [i["name"] for i in deployment.instances()]
     deployment.kill(names[0], 1.0)
     deployment.kill(names[3], 1.0)
@@ -189,9 +190,9 @@
 
 
 def endpoint_of(deployment, role, index=0):
-    long = MIX[deployment.name][0]
-    fitting = [e for e in deployment.entries()["endpoints"] if e["role"] == role and e["service"] == long]
-    return fitting[index]["name"]
+    long = SERVICES[deployment.name][0]
+    matching = [e for e in deployment.entries()["endpoints"] if e["role"] == role and e["service"] == long]
+    return matching[index]["name"]
 
 
 def kill_decode(deployment):
@@ -203,27 +204,27 @@
 
 
 def stall(deployment):
-    deployment.fake(endpoint_of(deployment, "decode"), {"stall_ms": 3000})
+    deployment.set_fake_fault(endpoint_of(deployment, "decode"), {"stall_ms": 3000})
     time.sleep(4)
-    deployment.fake(endpoint_of(deployment, "prefill"), {"stall_ms": 2000})
+    deployment.set_fake_fault(endpoint_of(deployment, "prefill"), {"stall_ms": 2000})
 
 
 def silence(deployment):
     for index in range(3):
-        deployment.fake(endpoint_of(deployment, "decode", index), {"silence": True})
+        deployment.set_fake_fault(endpoint_of(deployment, "decode", index), {"silence": True})
         time.sleep(2)
 
 
 def late_and_repeated(deployment):
     for index in range(6):
-        deployment.fake(endpoint_of(deployment, "decode", index), {"late_rate": 0.05, "repeat_rate": 0.05})
+        deployment.set_fake_fault(endpoint_of(deployment, "decode", index), {"late_rate": 0.05, "repeat_rate": 0.05})
 
 
 def refuse_cancels(deployment):
     name = endpoint_of(deployment, "decode")
-    deployment.fake(name, {"refuse_cancels": True})
+    deployment.set_fake_fault(name, {"refuse_cancels": True})
     time.sleep(5)
-    deployment.fake(name, {"clear": True})
+    deployment.set_fake_fault(name, {"clear": True})
 
 
 def depart(deployment):
@@ -231,7 +232,7 @@
 
 
 def cut_data_centre(deployment):
-    """Stops the relays of one data centre in both directions, then lets them go on."""
+    """Partitions one data centre by stopping its relays in both directions, then resumes them."""
     data_centre = deployment.instances()[0]["data_centre"]
     names = [r["name"] for r in deployment.entries()["relays"] if data_centre in (r["from"], r["to"])]
     deployment.record("cut", data_centre, 8000)
@@ -254,7 +255,7 @@
 
 
 def endpoint_storm(deployment):
-    """Endpoints die, stall, go silent, send late and repeated chunks, for a minute."""
+    """Kills, stalls and silences endpoints and makes them send late and repeated chunks, for a minute."""
     late_and_repeated(deployment)
     kill_decode(deployment)
     silence(deployment)
@@ -268,24 +269,24 @@
 
 
 def random_pair(seed):
-    def cause(deployment):
-        draw = random.Random(seed)
+    def inject(deployment):
+        rng = random.Random(seed)
         kinds = [kill_entry, kill_voter, freeze, kill_decode, kill_prefill, stall, silence, late_and_repeated]
-        first, second = draw.sample(kinds, 2)
+        first, second = rng.sample(kinds, 2)
         other = threading.Thread(target=first, args=(deployment,))
         other.start()
-        time.sleep(draw.random() * 2)
+        time.sleep(rng.random() * 2)
         second(deployment)
         other.join()
         return []
-    return cause
+    return inject
 
 
 # ---- Operators -------------------------------------------------------------
 
 
 class Operators:
-    """Operators that race with equal revisions and repeat their commands."""
+    """Concurrent operators whose changes expect the same revision and are sometimes repeated."""
 
     def __init__(self, deployment, seed):
         self.deployment = deployment
@@ -296,7 +297,7 @@
         self.lock = threading.Lock()
         self.stopped = False
 
-    def answer(self, change_id, text, name):
+    def submit(self, change_id, text, name):
         start = time.monotonic()
         status, answer = self.deployment.admin("change", text, name, 15)
         elapsed = time.monotonic() - start
@@ -312,29 +313,30 @@
                 self.findings.append(f"{change_id}: {before[:2]}, then {answer}")
         return answer
 
-    def work(self, operator):
-        draw = random.Random(f"{operator}-{self.random.random()}")
+    def submit_changes(self, operator):
+        rng = random.Random(f"{operator}-{self.random.random()}")
         names = [i["name"] for i in self.deployment.instances()]
         number = 0
         while not self.stopped:
             number += 1
-            name = draw.choice(names)
+            name = rng.choice(names)
             _, query = self.deployment.admin("query", "show instances limit 1", name, 5)
             if "revision" not in query:
                 continue
             change_id = f"op{operator}-{number}"
             text = (f'change id "{change_id}" at revision {query["revision"]} '
-                    f'{{ set class "long" first_token = {800 + draw.randrange(200)}ms }}')
-            self.answer(change_id, text, name)
-            if draw.random() < 0.3:
-                self.answer(change_id, text, draw.choice(names))
-            time.sleep(draw.random() * 0.1)
+                    f'{{ set class "long" first_token = {800 + rng.randrange(200)}ms }}')
+            self.submit(change_id, text, name)
+            if rng.random() < 0.3:
+                self.submit(change_id, text, rng.choice(names))
+            time.sleep(rng.random() * 0.1)
 
     def check(self):
-        winners = {}
+        accepted_by_revision = {}
         for change_id, (accepted, revision, _) in self.answers.items():
-            if accepted and winners.setdefault(revision, change_id) != change_id:
-                self.findings.append(f"revision {revision} went to {winners[revision]} and {change_id}")
+            if accepted and accepted_by_revision.setdefault(revision, change_id) != change_id:
+                self.findings.append(f"revision {revision} was assigned to both {accepted_by_revision[revision]} "
+                                     f"and {change_id}")
         revisions = set()
         deadline = time.monotonic() + 15
         while time.monotonic() < deadline:
@@ -344,35 +346,36 @@
                 break
             time.sleep(0.2)
         if len(revisions) != 1:
-            self.findings.append(f"instances differ in their revision: {revisions}")
-        elif winners and max(winners) > max(revisions):
-            self.findings.append(f"revision {max(winners)} was accepted, {revisions} is in force: a change was lost")
+            self.findings.append(f"instances report different revisions: {revisions}")
+        elif accepted_by_revision and max(accepted_by_revision) > max(revisions):
+            self.findings.append(f"revision {max(accepted_by_revision)} was accepted, {revisions} is in force: "
+                                 f"a change was lost")
         for change_id in random.Random(1).sample(sorted(self.answers), min(50, len(self.answers))):
-            self.answer(change_id, self.answers[change_id][2], None)
-        return winners
+            self.submit(change_id, self.answers[change_id][2], None)
+        return accepted_by_revision
 
 
-def race(seed, disturb):
-    def cause(deployment):
+def concurrent_operators(seed, inject_faults):
+    def inject(deployment):
         operators = Operators(deployment, seed)
-        threads = [threading.Thread(target=operators.work, args=(n,)) for n in range(8)]
+        threads = [threading.Thread(target=operators.submit_changes, args=(n,)) for n in range(8)]
         for thread in threads:
             thread.start()
-        disturb(deployment)
+        inject_faults(deployment)
         time.sleep(3)
         operators.stopped = True
         for thread in threads:
             thread.join()
-        winners = operators.check()
+        accepted_by_revision = operators.check()
         latencies = sorted(operators.latencies) or [0]
-        print(f"  {len(operators.answers)} changes by 8 operators, {len(winners)} accepted, "
+        print(f"  {len(operators.answers)} changes by 8 operators, {len(accepted_by_revision)} accepted, "
               f"in force after p50 {latencies[len(latencies) // 2] * 1000:.0f} ms, "
               f"p99 {latencies[int(len(latencies) * 0.99)] * 1000:.0f} ms", flush=True)
         return operators.findings
-    return cause
+    return inject
 
 
-def disturb_voters(deployment):
+def inject_voter_faults(deployment):
     names = [i["name"] for i in deployment.instances()]
     voters = [i["name"] for i in deployment.instances() if i["has_disk"]]
     time.sleep(2)
@@ -385,10 +388,10 @@
 
 
 def runs(seed, quick):
-    """Name, deployment, requests/s, seconds, faults, relays."""
+    """Returns tuples of name, deployment, requests/s, seconds, fault function and relays."""
     everything = [
-        ("steady", "kaewmanee", 60, 15, nothing, False),
-        ("overload", "association", 250, 15, nothing, False),
+        ("steady", "kaewmanee", 60, 15, no_faults, False),
+        ("overload", "association", 250, 15, no_faults, False),
         ("kill-entry", "kaewmanee", 60, 15, kill_entry, False),
         ("kill-voter", "association", 60, 15, kill_voter, False),
         ("kill-two", "kaewmanee", 60, 20, kill_two, False),
@@ -403,8 +406,8 @@
         ("depart", "association", 60, 15, depart, False),
         ("cut-data-centre", "kaewmanee", 40, 25, cut_data_centre, True),
         ("ten-thousand", "association", 150, 70, endpoint_storm, False),
-        ("operators", "kaewmanee", 10, 12, race(seed, nothing), False),
-        ("operators-disturbed", "kaewmanee", 10, 30, race(seed, disturb_voters), False),
+        ("operators", "kaewmanee", 10, 12, concurrent_operators(seed, no_faults), False),
+        ("operators-disturbed", "kaewmanee", 10, 30, concurrent_operators(seed, inject_voter_faults), False),
     ]
     pairs = [(f"pair-{s}", "kaewmanee", 60, 22, random_pair(s), False) for s in range(seed, seed + 3)]
     if quick:
@@ -414,19 +417,19 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--quick", action="store_true", help="four short runs")
-    parser.add_argument("--only", default="", help="names of runs, with commas")
+    parser.add_argument("--quick", action="store_true", help="only four of the runs")
+    parser.add_argument("--only", default="", help="comma-separated names of runs")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--report", default="", help="writes all reports as JSON")
+    parser.add_argument("--report", default="", help="file for all reports as JSON")
     arguments = parser.parse_args()
     only = set(filter(None, arguments.only.split(",")))
     reports = []
     failed = []
-    for name, deployment, rate, seconds, actions, relays in runs(arguments.seed, arguments.quick):
+    for name, deployment, rate, seconds, inject_faults, relays in runs(arguments.seed, arguments.quick):
         if only and name not in only:
             continue
         print(f"{name}: {deployment}, {rate} requests/s for {seconds} s", flush=True)
-        report = run(name, deployment, rate, seconds, actions, arguments.seed, relays)
+        report = run(name, deployment, rate, seconds, inject_faults, arguments.seed, relays)
         reports.append(report)
         violations = report.get("violations")
         bad = report["exit"] != 0 or report["findings"] or report["open_after"] != 0
--- a/scripts/local_deployment.py
+++ b/scripts/local_deployment.py
@@ -1,13 +1,14 @@
-"""Starts and stops a loopback deployment with stand-in endpoints.
+"""Starts and stops a loopback deployment with fake endpoints.
 
 Usage: local_deployment.py up kaewmanee|association DIR
        local_deployment.py down DIR
        local_deployment.py start DIR NAME
 
-`up` starts the daemons and the stand-ins, declares the services by one change
-and returns when every endpoint is known. `down` stops exactly the processes
-that `up` recorded in DIR/addresses.json. `start` starts an instance or
-endpoint that has ended, with its former arguments, and records its new id.
+`up` starts the daemons and the fake endpoints, creates the services with one
+configuration change and returns once the instances report every endpoint.
+`down` stops exactly the processes recorded in DIR/addresses.json. `start`
+restarts an exited instance or endpoint with its original arguments and records
+its new process id.
 """
 
 import hashlib
@@ -31,8 +32,8 @@
 READY_TIMEOUT_S = 30
 STOP_TIMEOUT_S = 20
 
-# Engine figures of the stand-ins: a prompt token costs 1/20,000 s, a written
-# token 20 ms, so that a prompt of 8,000 tokens costs as much as 20 tokens.
+# Speed of the fake endpoints: prefill takes 1/20,000 s per prompt token, decode
+# 20 ms per output token, so prefilling 8,000 tokens takes as long as decoding 20.
 PREFILL_RATE = int(os.environ.get("CASSIAUSHER_PREFILL_RATE", "20000"))
 STEP_MS = int(os.environ.get("CASSIAUSHER_STEP_MS", "20"))
 SLOTS = int(os.environ.get("CASSIAUSHER_SLOTS", "20"))
@@ -57,12 +58,12 @@
 }
 
 
-# Below the range from which the kernel takes ports of outgoing connections, so that none is taken between the plan
-# and the start.
+# Below the kernel's ephemeral port range, so that no outgoing connection takes a port between its selection and the
+# start of the process that listens on it.
 PORTS = range(15000, 31000)
 USED_PORTS = set()
 
-# A run that is told to end stops its deployment first, as with Ctrl-C.
+# Raises SystemExit on SIGTERM, so that the deployment is stopped first, as with Ctrl-C.
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(128 + signal.SIGTERM))
 
 
@@ -124,7 +125,7 @@
 
 def plan_relays(instances):
     """With CASSIAUSHER_RELAYS, messages between data centres pass through one relay for each pair of a source data
-    centre and a target instance. A stopped relay is a silent partition."""
+    centre and a target instance. Stopping a relay with SIGSTOP simulates a partition that no connection error reveals."""
     if os.environ.get("CASSIAUSHER_RELAYS") is None:
         return []
     relays = []
@@ -198,8 +199,9 @@
 
 
 def plan_endpoints(deployment):
-    """The roles listed in the deployment, else in each data centre: one prefill and two decode runners of the long service, one decode runner of the
-    short service, which prefills its short prompts itself, and one plain service."""
+    """Plans the endpoints that the deployment lists for each data centre. The default is one prefill and two decode
+    runners of the long service, one decode runner of the short service, which prefills its short prompts itself, and
+    one endpoint of the plain service."""
     plan = []
     for data_centre in deployment["data_centres"]:
         for suffix, service, role in deployment.get("endpoints") or (
@@ -239,7 +241,7 @@
         lines += [f'create service "{service}"', f'set service "{service}" kind = "{kind}"',
                   f'set service "{service}" classes = [{classes}]',
                   f'set service "{service}" default_class = "{default}"']
-    # One account carries the load of a whole test, so its limits are wide.
+    # One account sends the load of a whole test, so its limits are high.
     lines += ['create account "caller"', f'set account "caller" token_hash = "{caller_token_hash}"',
               'set account "caller" request_rate = 1000000',
               'set account "caller" concurrency = 1000000']
@@ -256,7 +258,7 @@
 
 
 def live_members(instances, token):
-    """The lowest count of live members that any instance sees."""
+    """Returns the lowest number of live members that any instance reports."""
     counts = []
     for instance in instances:
         _, state = call(f"http://127.0.0.1:{instance['admin']}/admin/v1/state", token)
@@ -294,12 +296,12 @@
 
 def up_deployment(deployment, folder):
     if (folder / "addresses.json").exists():
-        raise SystemExit(f"{folder} already holds a deployment; stop it first")
+        raise SystemExit(f"{folder} already contains a deployment; stop it first")
     leftover = [part for part in ("log", "settings", "data") if (folder / part).exists()]
     if leftover and not (folder / "addresses.stopped.json").exists():
-        raise SystemExit(f"{folder} holds files that no stopped deployment left: {', '.join(leftover)}")
+        raise SystemExit(f"{folder} contains files that are not from a stopped deployment: {', '.join(leftover)}")
     for part in ("log", "settings", "data"):
-        # A deployment that was stopped leaves its files; its log would bring back its configuration and tokens.
+        # A stopped deployment leaves its files; its log would restore the old configuration and tokens.
         shutil.rmtree(folder / part, ignore_errors=True)
         (folder / part).mkdir(parents=True)
     tokens = {kind: write_token(folder / (kind + ".token")) for kind in ("admin", "caller", "endpoint")}
@@ -321,17 +323,17 @@
                                                   tokens["admin"])[0] == 200)
     wait_until("members", lambda: live_members(instances, tokens["admin"]) == len(instances))
     if os.environ.get("CASSIAUSHER_NO_INITIAL_CHANGE") is None:
-        declare(deployment, instances[0], tokens["admin"], sha256(tokens["caller"]))
+        apply_initial_change(deployment, instances[0], tokens["admin"], sha256(tokens["caller"]))
     expected = {e["name"] for e in endpoints}
     wait_until("endpoints", lambda: expected <= known_endpoints(instances, tokens["admin"]))
 
 
-def declare(deployment, instance, token, caller_token_hash):
+def apply_initial_change(deployment, instance, token, caller_token_hash):
     answer = {}
     attempt = 0
 
     def accepted():
-        # A refused change keeps its answer, so each try is a change of its own.
+        # The answer to a refused change is kept under its id, so each attempt uses a new id.
         nonlocal answer, attempt
         attempt += 1
         _, answer = call(f"http://127.0.0.1:{instance['admin']}/admin/v1/change", token,
@@ -344,14 +346,14 @@
         raise SystemExit(f"the initial change was not accepted: {json.dumps(answer)}")
 
 
-def start_again(folder, name):
+def restart_process(folder, name):
     path = folder / "addresses.json"
     document = json.loads(path.read_text())
     for entry in document["instances"] + document["endpoints"]:
         if entry["name"] != name:
             continue
-        if process_runs(entry["pid"]):
-            raise SystemExit(f"{name} still runs as {entry['pid']}")
+        if is_running(entry["pid"]):
+            raise SystemExit(f"{name} is still running with pid {entry['pid']}")
         arguments = json.loads((folder / "settings" / (name + ".command")).read_text())
         entry["pid"] = start(folder, name, arguments).pid
         temporary = path.with_suffix(".new")
@@ -368,7 +370,7 @@
     return 0.0
 
 
-def process_runs(pid):
+def is_running(pid):
     try:
         with open(f"/proc/{pid}/stat") as stat:
             return stat.read().rsplit(")", 1)[1].split()[0] != "Z"
@@ -376,8 +378,8 @@
         return False
 
 
-def is_ours(pid):
-    """A recorded id may belong to another process by now."""
+def is_own_process(pid):
+    """Tells whether a recorded pid is still one of our processes; it may have been reused."""
     try:
         with open(f"/proc/{pid}/cmdline", "rb") as command:
             return b"cassiausher" in command.read()
@@ -390,8 +392,8 @@
     if not path.exists():
         return
     document = json.loads(path.read_text())
-    everything = document["instances"] + document["endpoints"] + document.get("relays", [])
-    pids = [p["pid"] for p in everything if is_ours(p["pid"])]
+    processes = document["instances"] + document["endpoints"] + document.get("relays", [])
+    pids = [p["pid"] for p in processes if is_own_process(p["pid"])]
     for pid in pids:
         try:
             os.kill(pid, signal.SIGCONT)
@@ -399,10 +401,10 @@
         except ProcessLookupError:
             pass
     deadline = time.monotonic() + STOP_TIMEOUT_S
-    while time.monotonic() < deadline and any(process_runs(pid) for pid in pids):
+    while time.monotonic() < deadline and any(is_running(pid) for pid in pids):
         time.sleep(0.05)
     for pid in pids:
-        if process_runs(pid):
+        if is_running(pid):
             os.kill(pid, signal.SIGKILL)
     path.rename(folder / "addresses.stopped.json")
 
@@ -420,7 +422,7 @@
         down(pathlib.Path(arguments[1]).resolve())
         return 0
     if len(arguments) == 3 and arguments[0] == "start":
-        start_again(pathlib.Path(arguments[1]).resolve(), arguments[2])
+        restart_process(pathlib.Path(arguments[1]).resolve(), arguments[2])
         return 0
     print(__doc__, file=sys.stderr)
     return 2
--- a/scripts/restart.py
+++ b/scripts/restart.py
@@ -17,8 +17,8 @@
 import live_bench
 import local_deployment as local
 
-RESTART_S = 1.0
-IN_FORCE_P99_S = 1.0
+TARGET_RESTART_S = 1.0
+TARGET_IN_FORCE_P99_S = 1.0
 OPERATORS = 8
 
 
@@ -52,14 +52,14 @@
     try:
         start = time.monotonic()
         latencies = make_changes(deployment, arguments.changes)
-        took = time.monotonic() - start
+        elapsed = time.monotonic() - start
         p99 = latencies[int(len(latencies) * 0.99)]
         voter = deployment.instances()[0]
         pid = deployment.pid(voter["name"])
         os.kill(pid, signal.SIGKILL)
         deployment.wait_gone(voter["name"])
         start = time.monotonic()
-        local.start_again(deployment.folder, voter["name"])
+        local.restart_process(deployment.folder, voter["name"])
         while local.call(voter["caller_url"] + "/readyz")[0] != 200:
             time.sleep(0.005)
         ready = time.monotonic() - start
@@ -67,14 +67,14 @@
         disk = disk_bytes(deployment.folder / "data" / voter["name"]) / 1e6
     finally:
         deployment.stop()
-    print(f"{len(latencies)} changes by {OPERATORS} operators in {took:.1f} s: in force everywhere after p50 "
-          f"{latencies[len(latencies) // 2] * 1000:.1f} ms, p99 {p99 * 1000:.1f} ms (target <= {IN_FORCE_P99_S} s)")
-    print(f"restart after them: ready after {ready:.3f} s (target <= {RESTART_S} s), revision {state['revision']}, "
+    print(f"{len(latencies)} changes by {OPERATORS} operators in {elapsed:.1f} s: in force everywhere after p50 "
+          f"{latencies[len(latencies) // 2] * 1000:.1f} ms, p99 {p99 * 1000:.1f} ms (target <= {TARGET_IN_FORCE_P99_S} s)")
+    print(f"restart after them: ready after {ready:.3f} s (target <= {TARGET_RESTART_S} s), revision {state['revision']}, "
           f"{disk:.1f} MB on disk")
     lost = state["revision"] < arguments.changes + 1
     if lost:
         print("changes were lost")
-    return 1 if lost or ready > RESTART_S or p99 > IN_FORCE_P99_S else 0
+    return 1 if lost or ready > TARGET_RESTART_S or p99 > TARGET_IN_FORCE_P99_S else 0
 
 
 if __name__ == "__main__":
