--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Entry points for people and CI; CMake does the work.
+# Targets for developers and CI; CMake builds the project.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 GENERATOR ?= Ninja
--- a/scripts/check_platform_names.py
+++ b/scripts/check_platform_names.py
@@ -1,8 +1,8 @@
 """Checks that the platform's wire names stay in the adapter.
 
-Every literal of platform/ that is no ordinary word (a header, a field with a
-hyphen, a path of the API) may not stand in the other parts of the product.
-deploy/ and tests/ are free to use them.
+A string literal of platform/ that is a header name, a field name with a hyphen
+or an API path must not occur in the other parts of the product. deploy/ and
+tests/ may use them.
 """
 
 import pathlib
@@ -12,8 +12,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 OTHER_PARTS = ("core", "servers", "modules", "drivers", "main", "tools")
 WIRE_NAME = re.compile(r'"(/api/[a-z/-]+|[A-Za-z]+(?:-[A-Za-z]+)+)"')
-# Headers of HTTP, of event streams and of the product's own interface, and a
-# property of libsoup's sessions.
+# Headers of HTTP, of event streams and of the product's own API, and a property
+# of libsoup sessions (max-conns).
 COMMON_NAMES = {
     "content-length", "content-type", "keep-alive", "last-event-id", "max-conns", "proxy-authenticate",
     "proxy-authorization", "proxy-connection", "retry-after", "transfer-encoding", "x-request-id"
@@ -43,13 +43,13 @@
 def main():
     names = wire_names()
     if not names:
-        print("platform/ has no wire names; is the pattern right?")
+        print("found no wire names in platform/; WIRE_NAME may be wrong")
         return 1
-    faults = list(misplaced(names))
-    for fault in faults:
-        print(fault)
-    print(f"platform names: {len(names)} names, {len(faults)} faults")
-    return 1 if faults else 0
+    errors = list(misplaced(names))
+    for error in errors:
+        print(error)
+    print(f"platform names: {len(names)} names, {len(errors)} errors")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/scripts/faults.py
+++ b/scripts/faults.py
@@ -1,13 +1,12 @@
 #!/usr/bin/env python3
-"""Causes faults at the processes of a live deployment.
+"""Injects faults into the processes of a live deployment.
 
-Only processes that addresses.json lists are touched. A killed or terminated
-process stays away: restarting it is the caller's part. Each fault is written
-as one JSON line {"fault","target","unix_ms","duration_ms"} for
-cassiausher_load --faults.
+Only processes listed in addresses.json are affected. A killed or terminated
+process is not restarted by this script. Each fault is written as one JSON line
+{"fault","target","unix_ms","duration_ms"} for cassiausher_load --faults.
 
   faults.py random --addresses DIR/addresses.json --seed N --seconds S
-      draws faults from the seed until the time is over
+      injects random faults, determined by the seed, for S seconds
   faults.py kill|stop|term NAME --addresses DIR/addresses.json
       kill -9, SIGSTOP and SIGCONT after --stop-seconds, or SIGTERM
   faults.py fake NAME '{"stall_ms":500}' --addresses DIR/addresses.json
@@ -25,7 +24,7 @@
 import urllib.request
 
 HTTP_TIMEOUT_S = 5
-# Faults of a stand-in, with the body that causes each; rates end with "clear".
+# Request bodies of /fake/fault by kind of fault; a rate stays in effect until "clear".
 FAKE_FAULTS = {
     "stall": {"stall_ms": 800},
     "silence": {"silence": True},
@@ -46,12 +45,12 @@
         self.endpoints = {p["name"]: p for p in document["endpoints"]}
         self.log = log
         self.stopped = []
-        self.gone = set()
+        self.terminated = set()
 
     def process(self, name):
         found = self.instances.get(name) or self.endpoints.get(name)
         if found is None:
-            raise SystemExit(f"addresses.json lists no {name}")
+            raise SystemExit(f"addresses.json does not list {name}")
         return found
 
     def record(self, fault, name, duration_ms=0):
@@ -60,7 +59,7 @@
         print(line, file=self.log, flush=True)
 
     def send(self, name, number):
-        """Signals the process, unless its id belongs to another program by now."""
+        """Signals the process, unless its pid now belongs to another program."""
         pid = self.process(name)["pid"]
         try:
             with open(f"/proc/{pid}/cmdline", "rb") as command:
@@ -74,17 +73,17 @@
 
     def kill(self, name):
         if self.send(name, signal.SIGKILL):
-            self.gone.add(name)
+            self.terminated.add(name)
             self.record("kill", name)
 
     def term(self, name):
         if self.send(name, signal.SIGTERM):
-            self.gone.add(name)
+            self.terminated.add(name)
             self.record("term", name)
 
     def stop(self, name, seconds):
-        """SIGSTOP; resume_due() or resume_all() sends the SIGCONT."""
-        # Noted first, since this script may be ended right after the signal.
+        """Sends SIGSTOP; resume_due() or resume_all() sends the SIGCONT."""
+        # Added first, so that resume_all() finds it if this script is terminated right after the signal.
         entry = (time.monotonic() + seconds, name)
         self.stopped.append(entry)
         if self.send(name, signal.SIGSTOP):
@@ -102,7 +101,7 @@
 
     def fake(self, name, body):
         if name not in self.endpoints:
-            raise SystemExit(f"{name} is no endpoint")
+            raise SystemExit(f"{name} is not an endpoint")
         request = urllib.request.Request(self.endpoints[name]["url"] + "/fake/fault",
                                          data=json.dumps(body).encode(), method="POST")
         opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
@@ -117,8 +116,8 @@
         self.record("fake:" + ",".join(body), name)
 
 
-def cause_random(deployment, options):
-    draw = random.Random(options.seed)
+def inject_random(deployment, options):
+    rng = random.Random(options.seed)
     kinds = [kind for kind in options.kinds.split(",") if kind]
     unknown = [kind for kind in kinds if kind not in PROCESS_FAULTS and kind not in FAKE_FAULTS]
     if unknown:
@@ -126,16 +125,16 @@
     end = time.monotonic() + options.seconds
     next_fault = time.monotonic()
     while time.monotonic() < end:
-        next_fault += draw.expovariate(1 / options.every)
-        kind = draw.choice(kinds)
+        next_fault += rng.expovariate(1 / options.every)
+        kind = rng.choice(kinds)
         targets = deployment.endpoints if kind in FAKE_FAULTS else {**deployment.instances, **deployment.endpoints}
-        name = draw.choice(sorted(targets))
+        name = rng.choice(sorted(targets))
         while time.monotonic() < min(next_fault, end):
             time.sleep(0.02)
             deployment.resume_due(time.monotonic())
-        if time.monotonic() >= end or name in deployment.gone:
+        if time.monotonic() >= end or name in deployment.terminated:
             continue
-        if kind in ("kill", "term") and len(deployment.gone) >= options.most_gone:
+        if kind in ("kill", "term") and len(deployment.terminated) >= options.most_gone:
             continue
         if kind == "stop":
             deployment.stop(name, options.stop_seconds)
@@ -160,22 +159,22 @@
     parser.add_argument("--kinds", default=",".join(PROCESS_FAULTS + tuple(FAKE_FAULTS)),
                         help="kinds to draw from: " + ", ".join(PROCESS_FAULTS + tuple(FAKE_FAULTS)))
     options = parser.parse_args()
-    wrong = [name for name in ("seconds", "every", "stop_seconds") if getattr(options, name) <= 0]
+    invalid = [name for name in ("seconds", "every", "stop_seconds") if getattr(options, name) <= 0]
     if options.action != "random" and options.name is None:
-        wrong.append("name")
+        invalid.append("name")
     if options.action == "fake" and not isinstance(options.body, dict):
-        wrong.append("body")
-    if wrong:
-        parser.error("missing or out of range: " + ", ".join(wrong))
+        invalid.append("body")
+    if invalid:
+        parser.error("missing or out of range: " + ", ".join(invalid))
     try:
         deployment = Deployment(options.addresses, options.log)
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise SystemExit(f"{options.addresses}: {error!r}")
-    # A stopped process must not stay so when this script is ended.
+    # Raises SystemExit, so that stopped processes are resumed when this script is terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     try:
         if options.action == "random":
-            cause_random(deployment, options)
+            inject_random(deployment, options)
         elif options.action == "fake":
             deployment.fake(options.name, options.body)
         elif options.action == "stop":
--- a/scripts/idle.py
+++ b/scripts/idle.py
@@ -1,10 +1,10 @@
-"""Measures what control costs an idle instance: processor time, memory, bytes
-between instances.
+"""Measures the control overhead of idle instances: CPU time, memory and bytes
+sent to other instances.
 
 Usage: idle.py [--seconds S] [--deployment NAME]
 
-Prints the worst and the mean over the instances beside the targets. The exit
-code is 1 when a target was missed.
+Prints each instance and the worst value beside each target. The exit code is 1
+when a target was missed.
 """
 
 import argparse
@@ -18,9 +18,9 @@
 
 import local_deployment as local
 
-CORE_SHARE = 0.012
-MEMORY_MB = 64
-BYTES_PER_SECOND = 3000
+TARGET_CORE_SHARE = 0.012
+TARGET_MEMORY_MB = 64
+TARGET_BYTES_PER_SECOND = 3000
 
 
 def cpu_seconds(pid):
@@ -70,8 +70,8 @@
     for name, core, memory, sent, messages in rows:
         print(f"{name:<20}{core:>12.4f}{memory:>12.1f}{sent:>10.0f}{messages:>12.1f}")
     missed = 0
-    for label, column, limit in (("core share", 1, CORE_SHARE), ("memory MB", 2, MEMORY_MB),
-                                 ("bytes/s", 3, BYTES_PER_SECOND)):
+    for label, column, limit in (("core share", 1, TARGET_CORE_SHARE), ("memory MB", 2, TARGET_MEMORY_MB),
+                                 ("bytes/s", 3, TARGET_BYTES_PER_SECOND)):
         worst = max(row[column] for row in rows)
         reached = worst <= limit
         missed += 0 if reached else 1
--- a/scripts/mutations/configuration.sh
+++ b/scripts/mutations/configuration.sh
@@ -16,7 +16,7 @@
 cmake -S "$scratch/source" -B "$scratch/build" -G Ninja -DCMAKE_BUILD_TYPE=RelWithDebInfo "${cache[@]}" >/dev/null
 
 build() { cmake --build "$scratch/build" -j "$jobs" --target "${tests[@]}" >"$scratch/build.log" 2>&1; }
-# A fault may end in an endless loop; the unchanged tests take a few seconds.
+# A fault may cause an infinite loop; the unchanged tests take a few seconds.
 run() { (ulimit -c 0; timeout 120 "$scratch/build/bin/$1" >"$scratch/$1.log" 2>&1); }
 
 build || { echo "the unchanged copy doesn't build"; tail -20 "$scratch/build.log"; exit 1; }
--- a/scripts/mutations/consensus.sh
+++ b/scripts/mutations/consensus.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
 # Plants faults in a scratch copy of the consensus sources, one at a time, and
-# reports whether the tests notice each: consensus.sh [NAME...]. Exits with 1 if
-# one is not noticed. Takes some minutes; JOBS limits the compiler processes.
+# reports whether the tests detect each: consensus.sh [NAME...]. Exits with 1 if
+# one is not detected. Takes some minutes; JOBS limits the compiler processes.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 scratch=$(mktemp -d)
 git ls-files -z --cached --others --exclude-standard | xargs -0 cp --parents -t "$scratch"
-# Originals to restore from, so that edits during the run don't get in.
+# Unchanged copy to restore files from, so that edits to the repository during the
+# run have no effect.
 cp -r "$scratch" "$scratch.originals"
 trap 'rm -rf "$scratch" "$scratch.originals"' EXIT
 jobs=${JOBS:-4}
@@ -79,19 +80,19 @@
   'role_ != RaftRole::kLeader &&
                        IsUpToDate(request.last_index(), request.last_term());' \
   'role_ != RaftRole::kLeader;'
-# The own vote counts before it is durable.
+# A candidate counts its own vote before it is durable.
 mutate vote_counted_before_durable $election \
   '  votes_.clear();
   for (const ReplicaId& voter : configuration().voters) {' \
   '  votes_ = {{replica_, true}};
   for (const ReplicaId& voter : configuration().voters) {'
-# A vote is given without waiting for its sync.
+# A vote is sent before it is synced to disk.
 mutate vote_not_synced $raft 'hard_state_.vote != old.vote ||' ''
-# An entry of an older term commits by the count of its copies.
+# An entry of an older term is committed by counting replicas.
 mutate commit_older_term $replication \
   '  if (log_.TermAt(candidate) != term()) return;
 ' ''
-# An append is accepted although the entry before it differs.
+# An append is accepted although the previous entry conflicts.
 mutate wrong_previous_term $replication \
   'log_.TermAt(previous) == append.previous_term();' \
   'previous <= log_.LastIndex();'
@@ -111,28 +112,28 @@
 mutate leader_counts_unsynced $raft \
   'if (member == replica_) return durable_index_;' \
   'if (member == replica_) return log_.LastIndex();'
-# A follower commits entries that the leader has not checked.
+# A follower commits entries beyond those that the append verified.
 mutate commit_unchecked $replication \
   'SetCommit(std::min(append.commit(), last_index));' \
   'SetCommit(std::min(append.commit(), log_.LastIndex()));'
-# Half of the voters pass for a quorum.
+# Half of the voters count as a quorum.
 mutate half_is_quorum servers/consensus/raft_types.h \
   'voters.size() / 2 + 1' '(voters.size() + 1) / 2'
-# A read is answered by heartbeats from before it.
+# A read is confirmed by a heartbeat round that began before it.
 mutate read_by_old_round $replication \
   'hard_state_.commit, round_ + 1}' 'hard_state_.commit, round_}'
-# A new leader answers reads before it knows what is committed.
+# A new leader answers reads before it has committed an entry of its own term.
 mutate read_before_own_commit $replication \
   'role_ != RaftRole::kLeader || !CommittedInOwnTerm()' \
   'role_ != RaftRole::kLeader'
-# A leader that hears no quorum stays leader.
+# A leader without contact to a quorum doesn't step down.
 mutate no_quorum_check $election \
   'return active >= configuration().Quorum();' 'return true;'
-# Pre-votes are granted although the leader is heard.
+# Pre-votes are granted despite recent contact with the leader.
 mutate no_leader_lease $election \
   'return now_ - *last_leader_contact_ < options_.election_timeout_min;' \
   'return false;'
-# Members change again before the last change is committed.
+# A membership change starts before the previous one is committed.
 mutate overlapping_member_changes $raft \
   'if (!configuration_committed() || !CommittedInOwnTerm()) {
     return Refuse' \
@@ -142,14 +143,14 @@
 mutate storage_number_ignored $raft \
   'replica_ = {options_.self, hard_state_.storage};' \
   'replica_ = {options_.self, 1};'
-# A fresh instance founds a log although others have one.
+# A new instance bootstraps a log although other instances have one.
 mutate founding_beside_a_log $raft \
   'if (reply.configured()) {' 'if (false) {'
-# A snapshot that conflicts with the log leaves the log as it is on disk.
+# A snapshot that conflicts with the log doesn't replace the log on disk.
 mutate snapshot_keeps_conflicting_log $replication \
   '    output_.snapshot_replaces_log = true;
 ' ''
-# An entry that differs from the last one that was compacted is not refused.
+# An entry that conflicts with the last compacted one is not rejected.
 mutate entry_at_base_unchecked $replication \
   'entry.index < log_.base_index()' 'entry.index <= log_.base_index()'
 # A batch written before a truncation counts as durable after it.
@@ -158,11 +159,11 @@
       CheckInvariant' \
   'if (done.last_index <= log_.LastIndex()) {
       CheckInvariant'
-# A voter that answers is replaced by another process under its name.
+# A responsive voter is replaced by another process with the same name.
 mutate answering_voter_replaced $raft \
   'if (!unresponsive || !configuration().IsVoter(id)) continue;' \
   'if (!configuration().IsVoter(id)) continue;'
-# The lost voter leaves before its replacement holds its promotion.
+# The lost voter is removed before its replacement has the entry that promotes it.
 mutate remove_before_copy $raft \
   '  if (MatchIndex(plan.replacement) < configurations_.rbegin()->first) return;
 ' ''
@@ -170,7 +171,7 @@
 mutate promote_without_copy $raft \
   '!next.learners.contains(learner) || !caught_up' \
   '!next.learners.contains(learner)'
-# Answers wait without a bound while the disk does not write.
+# Pending answers are unbounded while the disk makes no progress.
 mutate answers_pile_up $raft \
   'if (storage_failed_ || batches_.size() >= kMaxPendingBatches) {' 'if (false) {'
 # Entries are written but not synced.
@@ -178,22 +179,22 @@
   'BOOST_LEAF_CHECK(files_->Write(name, size_, bytes));
       return files_->SyncFile(name);' \
   'return files_->Write(name, size_, bytes);'
-# A new segment is not made durable in its folder.
+# The folder is not synced after a new segment is created.
 mutate skip_folder_sync $file_log \
   'BOOST_LEAF_CHECK(files_->SyncFile(name));
     return files_->SyncFolder();' \
   'return files_->SyncFile(name);'
-# The snapshot is renamed before its content is durable.
+# The snapshot is renamed before its contents are synced.
 mutate skip_snapshot_sync $file_log \
   '    BOOST_LEAF_CHECK(files_->SyncFile(kSnapshotTemporary));
 ' ''
 # Part of a failed write stays in the file.
 mutate failed_write_stays $file_log \
   'IgnoreFailure([&] { return files_->Truncate(name, size_); });' ''
-# Damage at the end of the log passes for a torn write.
+# Corruption at the end of the log is treated as a torn write.
 mutate damage_taken_for_torn $file_log \
   'check == RecordCheck::kIncomplete || zeros_at_end;' 'true;'
-# Segments are removed with entries that no snapshot covers.
+# Compaction removes segments with entries that no snapshot covers.
 mutate compact_too_far $file_log \
   'segments_.front().max_index <= compact_to_' 'true'
 
--- a/scripts/mutations/ownership.sh
+++ b/scripts/mutations/ownership.sh
@@ -40,7 +40,7 @@
 cmake -S "$scratch" -B "$scratch/build" -G Ninja -DCMAKE_BUILD_TYPE=RelWithDebInfo "${launcher[@]}" >/dev/null
 
 build() { cmake --build "$scratch/build" -j 4 --target ownership_tests membership_tests >"$scratch/log" 2>&1; }
-# A fault may keep a test from ending.
+# A fault may make a test hang.
 pass() {
   timeout 120 "$scratch/build/bin/ownership_tests" >/dev/null 2>&1 &&
     timeout 120 "$scratch/build/bin/membership_tests" >/dev/null 2>&1
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Installs the Debian packages that the build, the tests and the linters need.
-# Does nothing when all are present.
+# Does nothing if all are installed.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache pkg-config clang-format clang-tidy python3 curl
--- a/scripts/speed.py
+++ b/scripts/speed.py
@@ -1,11 +1,11 @@
 """Measures one instance: added latency, requests/s, streamed tokens/s, open
-streams and memory, with stand-ins that answer as fast as they can.
+streams and memory, with fake endpoints that answer as fast as they can.
 
 Usage: speed.py [--seconds S]
 
-Added latency is the difference between the same load through the instance and
-on a stand-in directly, in the same run. The exit code is 1 when a target was
-missed.
+Added latency is the difference between the same load sent through the instance
+and directly to a fake endpoint, in the same run. The exit code is 1 when a
+target was missed.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 os.environ.setdefault("CASSIAUSHER_SERVING_TASKS", "4")
 os.environ.setdefault("CASSIAUSHER_OUTPUT_TOKENS", "400")
 
-import local_deployment as local  # noqa: E402 - the settings above must come first
+import local_deployment as local  # noqa: E402 - reads the environment set above
 
 SERVICE = "kiosk-lookup"
 RUNNERS = 4
@@ -55,11 +55,11 @@
 
 
 def open_streams(table):
-    """Streams with 4 tokens/s each, all open at once."""
+    """Measures streams of 4 tokens/s each that are all open at once."""
     os.environ["CASSIAUSHER_STEP_MS"] = "250"
     local.STEP_MS = 250
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    # Two descriptors a stream; see FitToDescriptorLimit in main/main.cc.
+    # Two descriptors per stream; see FitToDescriptorLimit in main/main.cc.
     wanted = OPEN_STREAMS if hard_limit == resource.RLIM_INFINITY else min(OPEN_STREAMS, (hard_limit - 400) // 2)
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cassiausher-streams-")) / "deployment"
     local.up_deployment(DEPLOYMENT, folder)
@@ -80,9 +80,9 @@
     def __init__(self):
         self.missed = 0
 
-    def row(self, matter, target, value, reached):
+    def row(self, metric, target, value, reached):
         self.missed += 0 if reached else 1
-        print(f"{matter:<58}{target:>14}{value:>14.3f}  {'' if reached else 'missed'}", flush=True)
+        print(f"{metric:<58}{target:>14}{value:>14.3f}  {'' if reached else 'missed'}", flush=True)
 
 
 def measure(folder, seconds, table):
