--- a/scripts/check_docs.py
+++ b/scripts/check_docs.py
@@ -37,8 +37,8 @@
             result = subprocess.run(["bash", "-euo", "pipefail", "-c", block], cwd=ROOT, capture_output=True, text=True,
                                   timeout=TIMEOUT_S)
             if result.returncode != 0:
-                errors.append(f"{page.relative_to(ROOT)}: a shell block exited with status {result.returncode}\n{block}\n"
-                              f"{result.stderr}")
+                errors.append(f"{page.relative_to(ROOT)}: a shell block exited with status {result.returncode}\n"
+                              f"{block}\n{result.stderr}")
     if count == 0:
         errors.append("no document contains a shell block to run")
     return errors
--- a/scripts/explain_request.py
+++ b/scripts/explain_request.py
@@ -5,9 +5,9 @@
 
 A log is the standard output of cassiausher_node, with or without a prefix before
 each JSON object. Entries of the request are printed in time order with the time
-since the first. After them come the logged state changes of the endpoints that
-the request used, from a second before it began until it ended. A truncated or
-malformed line is skipped with a warning.
+since the first. After them come the state changes that the instances logged for
+the endpoints that the request used, from a second before it began until it
+ended. A truncated or malformed line is skipped with a warning.
 """
 
 import json
@@ -46,8 +46,8 @@
     start, end = request_entries[0]["time_ms"], request_entries[-1]["time_ms"]
     endpoints = {entry["endpoint"] for entry in request_entries if "endpoint" in entry}
     state_changes = [entry for entry in entries
-               if "request" not in entry and entry.get("endpoint") in endpoints
-               and start - STATE_CHANGE_WINDOW_MS <= entry["time_ms"] <= end]
+                     if "request" not in entry and entry.get("endpoint") in endpoints
+                     and start - STATE_CHANGE_WINDOW_MS <= entry["time_ms"] <= end]
     lines = [f"request {request}"] + [describe(entry, start) for entry in request_entries]
     if state_changes:
         lines += ["state changes of its endpoints"] + [describe(entry, start) for entry in state_changes]
--- a/scripts/local_deployment.py
+++ b/scripts/local_deployment.py
@@ -125,7 +125,7 @@
 
 def plan_relays(instances):
     """With CASSIAUSHER_RELAYS, messages between data centres pass through one relay for each pair of a source data
-    centre and a target instance. Stopping a relay with SIGSTOP simulates a partition that no connection error reveals."""
+    centre and a target instance. Stopping a relay with SIGSTOP simulates a partition without connection errors."""
     if os.environ.get("CASSIAUSHER_RELAYS") is None:
         return []
     relays = []
--- a/scripts/restart.py
+++ b/scripts/restart.py
@@ -68,9 +68,10 @@
     finally:
         deployment.stop()
     print(f"{len(latencies)} changes by {OPERATORS} operators in {elapsed:.1f} s: in force everywhere after p50 "
-          f"{latencies[len(latencies) // 2] * 1000:.1f} ms, p99 {p99 * 1000:.1f} ms (target <= {TARGET_IN_FORCE_P99_S} s)")
-    print(f"restart after them: ready after {ready:.3f} s (target <= {TARGET_RESTART_S} s), revision {state['revision']}, "
-          f"{disk:.1f} MB on disk")
+          f"{latencies[len(latencies) // 2] * 1000:.1f} ms, p99 {p99 * 1000:.1f} ms "
+          f"(target <= {TARGET_IN_FORCE_P99_S} s)")
+    print(f"restart after them: ready after {ready:.3f} s (target <= {TARGET_RESTART_S} s), "
+          f"revision {state['revision']}, {disk:.1f} MB on disk")
     lost = state["revision"] < arguments.changes + 1
     if lost:
         print("changes were lost")
