--- a/modules/file_log/file_log.cc
+++ b/modules/file_log/file_log.cc
@@ -92,7 +92,7 @@
   if (has_snapshot && segments_.empty()) {
     return Corrupt(SegmentName(1), 0, "there is a snapshot but no segment");
   }
-  return JoinWithSnapshot(std::move(replay), std::move(snapshot));
+  return ReconcileWithSnapshot(std::move(replay), std::move(snapshot));
 }
 
 boost::leaf::result<void> FileLog::ReplaySegment(const std::string& name,
@@ -106,8 +106,8 @@
     const RecordCheck check =
         DecodeRecord(content, sequence, offset, record, size);
     if (check != RecordCheck::kValid) {
-      return CutTornTail(name, sequence, content, offset, is_last, check,
-                         replay);
+      return TruncateTornTail(name, sequence, content, offset, is_last, check,
+                              replay);
     }
     if (offset == 0) {
       BOOST_LEAF_CHECK(ReplayStart(name, sequence, record, replay));
@@ -119,12 +119,12 @@
       segment.max_index = std::max(segment.max_index, replay.last());
     }
     offset += size;
-    size_ = offset;
+    synced_size_ = offset;
   }
   return {};
 }
 
-boost::leaf::result<void> FileLog::CutTornTail(
+boost::leaf::result<void> FileLog::TruncateTornTail(
     const std::string& name, std::uint64_t sequence, const std::string& content,
     std::uint64_t offset, bool is_last, RecordCheck check, Replay& replay) {
   // A write that was not synced leaves a short file or zeros at its end, and
@@ -145,7 +145,7 @@
     if (!segments_.empty()) {
       BOOST_LEAF_AUTO(previous,
                       files_->Read(SegmentName(segments_.back().sequence)));
-      size_ = previous.size();
+      synced_size_ = previous.size();
     }
     replay.findings.Add(files_->Path(name),
                         "removed a segment that was not finished");
@@ -230,7 +230,7 @@
   }
 }
 
-boost::leaf::result<StoredState> FileLog::JoinWithSnapshot(
+boost::leaf::result<StoredState> FileLog::ReconcileWithSnapshot(
     Replay replay, std::optional<Snapshot> snapshot) {
   snapshot_index_ = snapshot ? snapshot->index : 0;
   compact_to_ = snapshot_index_;
@@ -243,8 +243,8 @@
   StoredState state;
   state.hard_state = replay.hard_state;
   state.findings = replay.findings;
-  last_ = durable_last_ = replay.last();
-  state_ = durable_state_ = replay.hard_state;
+  last_index_ = durable_last_index_ = replay.last();
+  hard_state_ = durable_hard_state_ = replay.hard_state;
   // The entry that the snapshot ends with; null if the log starts after it.
   const LogEntry* joint = nullptr;
   if (snapshot_index_ > replay.base && snapshot_index_ <= replay.last()) {
@@ -292,23 +292,23 @@
 // --- Changes ---------------------------------------------------------------
 
 void FileLog::AddRecord(RecordKind kind, std::string payload) {
-  pending_.push_back({kind, std::move(payload)});
+  pending_records_.push_back({kind, std::move(payload)});
 }
 
 boost::leaf::result<void> FileLog::Append(
     const std::vector<LogEntry>& entries) {
-  LogIndex expected = last_ + 1;
+  LogIndex expected = last_index_ + 1;
   for (const LogEntry& entry : entries) {
     if (entry.index != expected++) {
-      return Misuse(
-          fmt::format("entry {} does not follow entry {}", entry.index, last_));
+      return Misuse(fmt::format("entry {} does not follow entry {}",
+                                entry.index, last_index_));
     }
   }
   for (const LogEntry& entry : entries) {
     AddRecord(RecordKind::kEntry, ToProto(entry).SerializeAsString());
-    last_ = entry.index;
+    last_index_ = entry.index;
   }
-  pending_max_index_ = std::max(pending_max_index_, last_);
+  pending_max_index_ = std::max(pending_max_index_, last_index_);
   return {};
 }
 
@@ -317,11 +317,11 @@
     return Misuse(
         fmt::format("entry {} is covered by the snapshot", first_removed));
   }
-  if (first_removed > last_) return {};
+  if (first_removed > last_index_) return {};
   proto::FileLogTruncate message;
   message.set_first_removed(first_removed);
   AddRecord(RecordKind::kTruncate, message.SerializeAsString());
-  last_ = first_removed - 1;
+  last_index_ = first_removed - 1;
   return {};
 }
 
@@ -333,13 +333,13 @@
   message.set_index(index);
   message.set_term(term);
   AddRecord(RecordKind::kReset, message.SerializeAsString());
-  last_ = index;
+  last_index_ = index;
   return {};
 }
 
 boost::leaf::result<void> FileLog::SaveHardState(const HardState& state) {
   AddRecord(RecordKind::kHardState, ToProto(state).SerializeAsString());
-  state_ = state;
+  hard_state_ = state;
   return {};
 }
 
@@ -393,38 +393,38 @@
 }
 
 boost::leaf::result<void> FileLog::SyncRecords() {
-  if (pending_.empty()) return {};
+  if (pending_records_.empty()) return {};
   std::string bytes;
   const auto encode = [&](std::uint64_t seed, std::uint64_t start) {
-    for (const Record& record : pending_) {
+    for (const Record& record : pending_records_) {
       EncodeRecord(record, seed, start + bytes.size(), bytes);
     }
   };
-  if (!segments_.empty()) encode(segments_.back().sequence, size_);
+  if (!segments_.empty()) encode(segments_.back().sequence, synced_size_);
   const bool needs_segment =
-      segments_.empty() || size_ + bytes.size() > options_.segment_bytes;
+      segments_.empty() || synced_size_ + bytes.size() > options_.segment_bytes;
   if (needs_segment) {
     BOOST_LEAF_CHECK(StartSegment());
   } else {
     const std::string name = SegmentName(segments_.back().sequence);
     auto write = [&]() -> boost::leaf::result<void> {
-      BOOST_LEAF_CHECK(files_->Write(name, size_, bytes));
+      BOOST_LEAF_CHECK(files_->Write(name, synced_size_, bytes));
       return files_->SyncFile(name);
     };
     auto written = write();
     if (!written) {
       // Nothing half applied stays, and the space is free for others.
-      IgnoreFailure([&] { return files_->Truncate(name, size_); });
+      IgnoreFailure([&] { return files_->Truncate(name, synced_size_); });
       return written;
     }
-    size_ += bytes.size();
+    synced_size_ += bytes.size();
   }
   Segment& segment = segments_.back();
   segment.max_index = std::max(segment.max_index, pending_max_index_);
-  pending_.clear();
+  pending_records_.clear();
   pending_max_index_ = 0;
-  durable_last_ = last_;
-  durable_state_ = state_;
+  durable_last_index_ = last_index_;
+  durable_hard_state_ = hard_state_;
   return {};
 }
 
@@ -433,12 +433,12 @@
       segments_.empty() ? 1 : segments_.back().sequence + 1;
   proto::FileLogSegmentStart start;
   start.set_sequence(sequence);
-  start.set_previous_index(durable_last_);
-  *start.mutable_hard_state() = ToProto(durable_state_);
+  start.set_previous_index(durable_last_index_);
+  *start.mutable_hard_state() = ToProto(durable_hard_state_);
   std::string bytes;
   EncodeRecord({RecordKind::kSegmentStart, start.SerializeAsString()}, sequence,
                0, bytes);
-  for (const Record& record : pending_) {
+  for (const Record& record : pending_records_) {
     EncodeRecord(record, sequence, bytes.size(), bytes);
   }
   const std::string name = SegmentName(sequence);
@@ -453,8 +453,8 @@
     IgnoreFailure([&] { return files_->Remove(name); });
     return written;
   }
-  segments_.push_back({sequence, durable_last_});
-  size_ = bytes.size();
+  segments_.push_back({sequence, durable_last_index_});
+  synced_size_ = bytes.size();
   return {};
 }
 
--- a/modules/file_log/file_log.h
+++ b/modules/file_log/file_log.h
@@ -1,5 +1,5 @@
 // Log storage on disk: segment files of checksummed records, and one snapshot
-// file that is replaced by rename.
+// file that is replaced atomically by rename.
 #ifndef MODULES_FILE_LOG_FILE_LOG_H_
 #define MODULES_FILE_LOG_FILE_LOG_H_
 
@@ -17,15 +17,18 @@
 namespace cassiausher {
 
 struct FileLogOptions {
-  /// A segment that would grow beyond this is followed by a new one. Whole
-  /// segments are removed after a snapshot, so disk use stays below the live
-  /// entries, the snapshot (twice while it is replaced) and two segments.
+  /// Maximum size of a segment. A write that would exceed it starts a new
+  /// segment, which is larger if that write alone exceeds the maximum.
+  /// Compaction removes only whole segments, so disk use stays below the sum of
+  /// the live entries, the snapshot (twice while it is replaced) and two
+  /// segments.
   std::uint64_t segment_bytes = std::uint64_t{4} * 1024 * 1024;
 };
 
-/// Used by one thread, usually the storage task. Changes wait in memory until
-/// Sync(), which writes them with one call; a failed write is cut off again and
-/// repeated by the next Sync().
+/// Not thread safe; usually owned by the storage task. Changes are buffered in
+/// memory until Sync(), which writes all pending records with one call. After a
+/// failed write or sync the file is truncated to its synced size, and the next
+/// Sync() writes the records again.
 class FileLog : public LogStorage {
  public:
   explicit FileLog(std::unique_ptr<FileSystem> files,
@@ -48,8 +51,9 @@
     /// Highest index that was ever appended to this segment.
     LogIndex max_index = 0;
   };
-  /// The log while it is read.
+  /// State rebuilt from the segments by Load().
   struct Replay {
+    /// Index of the entry before the first one in `entries`.
     LogIndex base = 0;
     std::deque<LogEntry> entries;
     HardState hard_state;
@@ -58,26 +62,35 @@
     LogIndex last() const { return base + entries.size(); }
   };
 
+  /// Applies all records of a segment to `replay`.
   boost::leaf::result<void> ReplaySegment(const std::string& name, bool is_last,
                                           Replay& replay);
   boost::leaf::result<void> ReplayRecord(const std::string& name,
                                          std::uint64_t offset,
                                          const Record& record, Replay& replay);
+  /// Checks the first record of a segment: its sequence number, and that the
+  /// segment continues the previous one.
   boost::leaf::result<void> ReplayStart(const std::string& name,
                                         std::uint64_t sequence,
                                         const Record& record, Replay& replay);
-  /// Cuts off a record that was never synced, or fails if it may have been.
-  boost::leaf::result<void> CutTornTail(const std::string& name,
-                                        std::uint64_t sequence,
-                                        const std::string& content,
-                                        std::uint64_t offset, bool is_last,
-                                        RecordCheck check, Replay& replay);
-  boost::leaf::result<StoredState> JoinWithSnapshot(
+  /// Truncates the last segment before an invalid record that was never synced.
+  /// Fails with kCorrupt if the record may have been synced.
+  boost::leaf::result<void> TruncateTornTail(const std::string& name,
+                                             std::uint64_t sequence,
+                                             const std::string& content,
+                                             std::uint64_t offset, bool is_last,
+                                             RecordCheck check, Replay& replay);
+  /// Drops the entries that the snapshot covers, or resets the log if it does
+  /// not continue the snapshot. Fails if entries between the two are missing.
+  boost::leaf::result<StoredState> ReconcileWithSnapshot(
       Replay replay, std::optional<Snapshot> snapshot);
 
   boost::leaf::result<void> SyncSnapshot();
+  /// Writes and syncs the pending records, in a new segment if they don't fit.
   boost::leaf::result<void> SyncRecords();
+  /// Creates the next segment with the pending records.
   boost::leaf::result<void> StartSegment();
+  /// Removes the leading segments whose entries are all compacted.
   void RemoveCompacted();
   void AddRecord(RecordKind kind, std::string payload);
   boost::leaf::error_id Corrupt(const std::string& name, std::uint64_t offset,
@@ -87,21 +100,24 @@
   std::unique_ptr<FileSystem> files_;
   FileLogOptions options_;
 
-  /// Consecutive sequence numbers; the last one is written to.
+  /// Ordered by consecutive sequence numbers; records are appended to the last.
   std::deque<Segment> segments_;
-  /// Synced bytes of the last segment. What is beyond is not durable.
-  std::uint64_t size_ = 0;
-  /// Last index and hard state on disk, for the start of the next segment.
-  LogIndex durable_last_ = 0;
-  HardState durable_state_;
+  /// Synced bytes of the last segment. Bytes beyond are not durable.
+  std::uint64_t synced_size_ = 0;
+  /// Last index and hard state on disk, stored at the start of a new segment.
+  LogIndex durable_last_index_ = 0;
+  HardState durable_hard_state_;
 
   /// Changes since the last Sync(), in order.
-  std::vector<Record> pending_;
+  std::vector<Record> pending_records_;
   std::optional<Snapshot> pending_snapshot_;
-  LogIndex last_ = 0;
-  HardState state_;
+  /// Last index, hard state and snapshot index, including pending changes.
+  LogIndex last_index_ = 0;
+  HardState hard_state_;
   LogIndex snapshot_index_ = 0;
+  /// Entries up to and including this index may be removed.
   LogIndex compact_to_ = 0;
+  /// Highest index that was appended since the last Sync().
   LogIndex pending_max_index_ = 0;
 };
 
--- a/modules/file_log/posix_file_system.h
+++ b/modules/file_log/posix_file_system.h
@@ -1,4 +1,4 @@
-// File operations by system calls.
+// FileSystem implementation with POSIX system calls.
 #ifndef MODULES_FILE_LOG_POSIX_FILE_SYSTEM_H_
 #define MODULES_FILE_LOG_POSIX_FILE_SYSTEM_H_
 
@@ -9,6 +9,7 @@
 
 namespace cassiausher {
 
+/// Holds a lock on the directory from Open() until destruction.
 class PosixFileSystem : public FileSystem {
  public:
   explicit PosixFileSystem(std::string folder);
@@ -31,12 +32,15 @@
   std::string Path(const std::string& name) const override;
 
  private:
-  /// Descriptor of the file, kept open while the same file is written.
+  /// Opens or creates the file. The descriptor stays open until another file is
+  /// used, so that consecutive writes to one file don't reopen it.
   boost::leaf::result<int> Descriptor(const std::string& name);
   void CloseDescriptor();
 
   std::string folder_;
+  /// Descriptor of the lock file, or -1.
   int lock_ = -1;
+  /// Descriptor of the file `descriptor_name_`, or -1.
   int descriptor_ = -1;
   std::string descriptor_name_;
 };
--- a/modules/file_log/record.h
+++ b/modules/file_log/record.h
@@ -1,8 +1,8 @@
-// Records of the log files. Layout, little endian: payload length (4 bytes),
+// Record format of the log files, little endian: payload length (4 bytes),
 // kind (4), XXH3 of the payload (8), XXH3 of the header so far (8), payload,
-// end byte. The header has a checksum of its own, so that a flipped length is
-// not taken for a record that was cut. The end byte is not zero, so that space
-// that was allocated but never written is told from a complete record.
+// end byte. The header has its own checksum, so that a corrupt length is not
+// mistaken for a truncated record. The end byte is not zero, so that allocated
+// but unwritten space is not mistaken for the end of a complete record.
 #ifndef MODULES_FILE_LOG_RECORD_H_
 #define MODULES_FILE_LOG_RECORD_H_
 
@@ -21,6 +21,8 @@
   kSnapshot = 6,
 };
 
+/// `payload` is a serialized message of proto/file_log.proto or of the Raft
+/// types, depending on `kind`.
 struct Record {
   RecordKind kind = RecordKind::kEntry;
   std::string payload;
@@ -29,9 +31,9 @@
 inline constexpr std::size_t kRecordHeaderBytes = 24;
 inline constexpr std::size_t kRecordEndBytes = 1;
 
-/// Appends the encoded record to `file`. `seed` differs between files; it and
-/// the offset are part of the header's checksum, so that a record at a wrong
-/// place is not valid there.
+/// Appends the encoded record to `file`. `seed` differs between files. The
+/// header's checksum covers it and the offset, so that a record is invalid in
+/// another file or at another offset.
 void EncodeRecord(const Record& record, std::uint64_t seed,
                   std::uint64_t offset, std::string& file);
 
@@ -41,13 +43,14 @@
   kDamaged,     ///< A checksum, the kind or the end byte is wrong.
 };
 
-/// Checks the record at `offset`, which is within `file`. `record` is set if
-/// it is valid, `size` to the bytes of the whole record.
+/// Decodes and checks the record at `offset`, which must not exceed the size of
+/// `file`. Sets `record` only if it is valid, and `size` to the size of the
+/// whole record in bytes if the header is valid.
 RecordCheck DecodeRecord(std::string_view file, std::uint64_t seed,
                          std::uint64_t offset, Record& record,
                          std::uint64_t& size);
 
-/// True if a valid record starts anywhere after `offset`.
+/// Returns true if a valid record starts at any byte after `offset`.
 bool HasRecordAfter(std::string_view file, std::uint64_t seed,
                     std::uint64_t offset);
 
--- a/scripts/mutations/consensus.sh
+++ b/scripts/mutations/consensus.sh
@@ -175,9 +175,9 @@
   'if (storage_failed_ || batches_.size() >= kMaxPendingBatches) {' 'if (false) {'
 # Entries are written but not synced.
 mutate skip_sync $file_log \
-  'BOOST_LEAF_CHECK(files_->Write(name, size_, bytes));
+  'BOOST_LEAF_CHECK(files_->Write(name, synced_size_, bytes));
       return files_->SyncFile(name);' \
-  'return files_->Write(name, size_, bytes);'
+  'return files_->Write(name, synced_size_, bytes);'
 # A new segment is not made durable in its folder.
 mutate skip_folder_sync $file_log \
   'BOOST_LEAF_CHECK(files_->SyncFile(name));
@@ -189,7 +189,7 @@
 ' ''
 # Part of a failed write stays in the file.
 mutate failed_write_stays $file_log \
-  'IgnoreFailure([&] { return files_->Truncate(name, size_); });' ''
+  'IgnoreFailure([&] { return files_->Truncate(name, synced_size_); });' ''
 # Damage at the end of the log passes for a torn write.
 mutate damage_taken_for_torn $file_log \
   'check == RecordCheck::kIncomplete || zeros_at_end;' 'true;'
