--- a/modules/file_log/file_log.cc
+++ b/modules/file_log/file_log.cc
@@ -17,14 +17,16 @@
 constexpr std::string_view kSegmentPrefix = "segment-";
 constexpr char kSnapshotName[] = "snapshot";
 constexpr char kSnapshotTemporary[] = "snapshot.tmp";
-/// Seed of the snapshot's record; segments use their sequence from 1 on.
+/// Checksum seed of the snapshot file. Segments use their sequence number,
+/// which starts at 1, as the seed.
 constexpr std::uint64_t kSnapshotSeed = 0;
 
 std::string SegmentName(std::uint64_t sequence) {
   return fmt::format("{}{:016x}", kSegmentPrefix, sequence);
 }
 
-/// Runs a clean-up whose failure must not replace the error being reported.
+/// Runs a best-effort operation and ignores its error, so that it does not
+/// replace the error being reported.
 template <typename Operation>
 void IgnoreFailure(Operation operation) {
   boost::leaf::try_handle_all(
@@ -32,6 +34,7 @@
       [](const StorageError&) {}, [] {});
 }
 
+/// Returns nullopt if `name` is not the name of a segment file.
 std::optional<std::uint64_t> SegmentSequence(const std::string& name) {
   if (!name.starts_with(kSegmentPrefix)) return std::nullopt;
   std::uint64_t sequence = 0;
@@ -88,7 +91,8 @@
     BOOST_LEAF_CHECK(ReplaySegment(name, is_last, replay));
   }
   BOOST_LEAF_AUTO(snapshot, LoadSnapshot());
-  // Votes are in the segments; without them this replica could vote twice.
+  // The segments store this replica's votes; without them it could vote twice
+  // in a term.
   if (has_snapshot && segments_.empty()) {
     return Corrupt(SegmentName(1), 0, "there is a snapshot but no segment");
   }
@@ -127,8 +131,8 @@
 boost::leaf::result<void> FileLog::TruncateTornTail(
     const std::string& name, std::uint64_t sequence, const std::string& content,
     std::uint64_t offset, bool is_last, RecordCheck check, Replay& replay) {
-  // A write that was not synced leaves a short file or zeros at its end, and
-  // nothing valid follows it. Everything else is damage to synced data.
+  // After a crash, an unsynced write is either truncated or ends in zeros, and
+  // no valid record follows it. Anything else is corruption of synced data.
   const bool zeros_at_end = !content.empty() && content.back() == '\0';
   const bool torn = check == RecordCheck::kIncomplete || zeros_at_end;
   if (!is_last || !torn || HasRecordAfter(content, sequence, offset)) {
@@ -138,7 +142,8 @@
                        : "the record's checksum does not match");
   }
   if (offset == 0) {
-    // The segment was being created and holds nothing that was synced.
+    // The crash came while the segment was being created, so it holds no synced
+    // record.
     BOOST_LEAF_CHECK(files_->Remove(name));
     BOOST_LEAF_CHECK(files_->SyncFolder());
     segments_.pop_back();
@@ -214,7 +219,8 @@
              replay.last() >= message.first_removed()) {
         replay.entries.pop_back();
       }
-      // The entries before are covered by the snapshot and were removed.
+      // If this lowers `base`, the entries up to it are covered by the snapshot
+      // and were removed.
       replay.base = std::min(replay.base, message.first_removed() - 1);
       return {};
     }
@@ -245,20 +251,22 @@
   state.findings = replay.findings;
   last_index_ = durable_last_index_ = replay.last();
   hard_state_ = durable_hard_state_ = replay.hard_state;
-  // The entry that the snapshot ends with; null if the log starts after it.
-  const LogEntry* joint = nullptr;
+  // Log entry at the snapshot's index, or null if the log does not contain it.
+  const LogEntry* snapshot_entry = nullptr;
   if (snapshot_index_ > replay.base && snapshot_index_ <= replay.last()) {
-    joint = &replay.entries[snapshot_index_ - replay.base - 1];
+    snapshot_entry = &replay.entries[snapshot_index_ - replay.base - 1];
   }
-  const bool continues = replay.base == snapshot_index_ ||
-                         (joint != nullptr && joint->term == snapshot->term);
+  const bool continues =
+      replay.base == snapshot_index_ ||
+      (snapshot_entry != nullptr && snapshot_entry->term == snapshot->term);
   if (continues) {
     const LogIndex skipped = snapshot_index_ - replay.base;
     state.entries.assign(
         replay.entries.begin() + static_cast<std::ptrdiff_t>(skipped),
         replay.entries.end());
   } else {
-    // A crash came after the snapshot was saved and before the log was reset.
+    // The replica crashed after it saved a received snapshot and before it
+    // reset the log.
     state.findings.Add(files_->Path(kSnapshotName),
                        "the log does not reach the snapshot; its entries are "
                        "replaced by the snapshot");
@@ -383,7 +391,7 @@
   };
   auto written = write();
   if (!written) {
-    // Frees the space.
+    // Frees the disk space of the partial file.
     IgnoreFailure([&] { return files_->Remove(kSnapshotTemporary); });
     return written;
   }
@@ -395,9 +403,9 @@
 boost::leaf::result<void> FileLog::SyncRecords() {
   if (pending_records_.empty()) return {};
   std::string bytes;
-  const auto encode = [&](std::uint64_t seed, std::uint64_t start) {
+  const auto encode = [&](std::uint64_t seed, std::uint64_t start_offset) {
     for (const Record& record : pending_records_) {
-      EncodeRecord(record, seed, start + bytes.size(), bytes);
+      EncodeRecord(record, seed, start_offset + bytes.size(), bytes);
     }
   };
   if (!segments_.empty()) encode(segments_.back().sequence, synced_size_);
@@ -413,7 +421,7 @@
     };
     auto written = write();
     if (!written) {
-      // Nothing half applied stays, and the space is free for others.
+      // Discards the partial write, which also frees its disk space.
       IgnoreFailure([&] { return files_->Truncate(name, synced_size_); });
       return written;
     }
@@ -461,8 +469,8 @@
 void FileLog::RemoveCompacted() {
   if (pending_snapshot_) return;
   while (segments_.size() > 1 && segments_.front().max_index <= compact_to_) {
-    // One after the other, so that a crash leaves no gap between segments. A
-    // segment that can't be removed now stays until the next sync.
+    // Each removal is synced before the next, so that a crash leaves no gap
+    // between segments. A failed removal is retried by the next Sync().
     bool removed = false;
     IgnoreFailure([&]() -> boost::leaf::result<void> {
       BOOST_LEAF_CHECK(files_->Remove(SegmentName(segments_.front().sequence)));
--- a/modules/file_log/posix_file_system.cc
+++ b/modules/file_log/posix_file_system.cc
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr char kLockName[] = "lock";
+constexpr char kLockFileName[] = "lock";
 constexpr mode_t kFileMode = 0600;
-constexpr std::size_t kReadBytes = 1024 * 1024;
+constexpr std::size_t kReadChunkBytes = 1024 * 1024;
 
 StorageError SystemError(const std::string& file, std::uint64_t offset,
                          const char* call, int error) {
@@ -51,12 +51,12 @@
     return boost::leaf::new_error(
         SystemError(folder_, 0, "mkdir", error.value()));
   }
-  const std::string path = Path(kLockName);
+  const std::string path = Path(kLockFileName);
   lock_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (lock_ < 0) {
     return boost::leaf::new_error(SystemError(path, 0, "open", errno));
   }
-  // Two processes on one folder could vote twice in a term.
+  // Two processes that use the same directory could vote twice in a term.
   if (::flock(lock_, LOCK_EX | LOCK_NB) != 0) {
     return boost::leaf::new_error(
         StorageError{StorageError::Code::kInputOutput, path, 0,
@@ -72,7 +72,7 @@
   for (; !error && item != std::filesystem::directory_iterator();
        item.increment(error)) {
     const std::string name = item->path().filename().string();
-    if (name != kLockName) names.push_back(name);
+    if (name != kLockFileName) names.push_back(name);
   }
   if (error) {
     return boost::leaf::new_error(
@@ -92,8 +92,8 @@
   std::string content;
   while (true) {
     const std::size_t size = content.size();
-    content.resize(size + kReadBytes);
-    const ssize_t count = ::read(file, content.data() + size, kReadBytes);
+    content.resize(size + kReadChunkBytes);
+    const ssize_t count = ::read(file, content.data() + size, kReadChunkBytes);
     const int error = errno;
     content.resize(size +
                    static_cast<std::size_t>(std::max<ssize_t>(0, count)));
--- a/modules/file_log/record.cc
+++ b/modules/file_log/record.cc
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr char kEndByte = '\xA5';
-constexpr std::size_t kCheckedHeaderBytes = 16;
+/// Size of the header without its own checksum.
+constexpr std::size_t kChecksummedHeaderBytes = 16;
 
 template <typename Number>
-void Put(Number value, std::string& out) {
+void AppendLittleEndian(Number value, std::string& out) {
   for (std::size_t i = 0; i < sizeof(Number); ++i) {
     out.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
   }
 }
 
 template <typename Number>
-Number Take(std::string_view bytes) {
+Number ReadLittleEndian(std::string_view bytes) {
   Number value = 0;
   for (std::size_t i = 0; i < sizeof(Number); ++i) {
     value |= static_cast<Number>(static_cast<unsigned char>(bytes[i]))
@@ -30,22 +31,23 @@
 
 std::uint64_t HeaderChecksum(std::string_view header, std::uint64_t seed,
                              std::uint64_t offset) {
-  const std::uint64_t place[] = {seed, offset};
-  return XXH3_64bits_withSeed(header.data(), kCheckedHeaderBytes,
-                              XXH3_64bits(place, sizeof(place)));
+  const std::uint64_t position[] = {seed, offset};
+  return XXH3_64bits_withSeed(header.data(), kChecksummedHeaderBytes,
+                              XXH3_64bits(position, sizeof(position)));
 }
 
-bool IsKnown(std::uint32_t kind) {
+bool IsKnownKind(std::uint32_t kind) {
   return kind >= static_cast<std::uint32_t>(RecordKind::kSegmentStart) &&
          kind <= static_cast<std::uint32_t>(RecordKind::kSnapshot);
 }
 
-/// The header's checksum and kind, given that the whole header is there.
+/// Checks the header's checksum and kind. `header` must hold a whole header.
 bool HeaderIsValid(std::string_view header, std::uint64_t seed,
                    std::uint64_t offset) {
-  return Take<std::uint64_t>(header.substr(kCheckedHeaderBytes)) ==
+  return ReadLittleEndian<std::uint64_t>(
+             header.substr(kChecksummedHeaderBytes)) ==
              HeaderChecksum(header, seed, offset) &&
-         IsKnown(Take<std::uint32_t>(header.substr(4)));
+         IsKnownKind(ReadLittleEndian<std::uint32_t>(header.substr(4)));
 }
 
 }  // namespace
@@ -53,11 +55,12 @@
 void EncodeRecord(const Record& record, std::uint64_t seed,
                   std::uint64_t offset, std::string& file) {
   std::string header;
-  Put(static_cast<std::uint32_t>(record.payload.size()), header);
-  Put(static_cast<std::uint32_t>(record.kind), header);
-  Put<std::uint64_t>(XXH3_64bits(record.payload.data(), record.payload.size()),
-                     header);
-  Put<std::uint64_t>(HeaderChecksum(header, seed, offset), header);
+  AppendLittleEndian(static_cast<std::uint32_t>(record.payload.size()), header);
+  AppendLittleEndian(static_cast<std::uint32_t>(record.kind), header);
+  AppendLittleEndian<std::uint64_t>(
+      XXH3_64bits(record.payload.data(), record.payload.size()), header);
+  AppendLittleEndian<std::uint64_t>(HeaderChecksum(header, seed, offset),
+                                    header);
   file += header;
   file += record.payload;
   file.push_back(kEndByte);
@@ -69,15 +72,16 @@
   const std::string_view rest = file.substr(offset);
   if (rest.size() < kRecordHeaderBytes) return RecordCheck::kIncomplete;
   if (!HeaderIsValid(rest, seed, offset)) return RecordCheck::kDamaged;
-  const auto length = Take<std::uint32_t>(rest);
+  const auto length = ReadLittleEndian<std::uint32_t>(rest);
   size = kRecordHeaderBytes + std::uint64_t{length} + kRecordEndBytes;
   if (rest.size() < size) return RecordCheck::kIncomplete;
   const std::string_view payload = rest.substr(kRecordHeaderBytes, length);
   const bool intact = rest[size - 1] == kEndByte &&
                       XXH3_64bits(payload.data(), payload.size()) ==
-                          Take<std::uint64_t>(rest.substr(8));
+                          ReadLittleEndian<std::uint64_t>(rest.substr(8));
   if (!intact) return RecordCheck::kDamaged;
-  record.kind = static_cast<RecordKind>(Take<std::uint32_t>(rest.substr(4)));
+  record.kind =
+      static_cast<RecordKind>(ReadLittleEndian<std::uint32_t>(rest.substr(4)));
   record.payload = std::string(payload);
   return RecordCheck::kValid;
 }
