--- a/tests/modules/fault_file_system.h
+++ b/tests/modules/fault_file_system.h
@@ -1,5 +1,5 @@
-// Files in memory that fail like a disk: writes that were not synced may be
-// lost in part at a crash, space may run out, a sync may fail.
+// In-memory file system with fault injection: a crash loses unsynced writes
+// wholly or in part, the disk runs full, syncs fail.
 #ifndef TESTS_MODULES_FAULT_FILE_SYSTEM_H_
 #define TESTS_MODULES_FAULT_FILE_SYSTEM_H_
 
@@ -19,7 +19,7 @@
 
 namespace cassiausher {
 
-/// The disk itself; it outlives the FileSystem objects that use it.
+/// Files of a simulated disk. Must outlive the FileSystem objects that use it.
 class FaultDisk {
  public:
   struct File {
@@ -29,15 +29,17 @@
   using Folder = std::map<std::string, std::shared_ptr<File>>;
 
   Folder current;
-  /// What the folder held at the last SyncFolder().
+  /// Directory content at the last SyncFolder().
   Folder synced;
-  /// Bytes that can still be added.
+  /// Free space in bytes.
   std::uint64_t space = std::numeric_limits<std::uint64_t>::max();
-  /// Syncs that succeed before all fail.
+  /// Number of syncs that succeed before all further ones fail.
   std::uint64_t syncs_left = std::numeric_limits<std::uint64_t>::max();
 
-  /// Loses what was not synced: of each file the additions from a random
-  /// point on, which become zeros or are cut; of the folder all changes.
+  /// Simulates a crash that loses unsynced data. Of each file, the unsynced
+  /// appended bytes after a random point are truncated or become zeros, or all
+  /// unsynced changes are lost. The directory loses either all its unsynced
+  /// changes or none.
   void Crash(Random& random) {
     if (random.Chance(0.5)) current = synced;
     synced = current;
@@ -60,13 +62,13 @@
     }
   }
 
-  std::uint64_t Used() const {
+  std::uint64_t UsedBytes() const {
     std::uint64_t bytes = 0;
     for (const auto& [name, file] : current) bytes += file->current.size();
     return bytes;
   }
 
-  /// A copy that shares no file.
+  /// Returns a deep copy whose directory content counts as synced.
   FaultDisk Copy() const {
     FaultDisk copy = *this;
     copy.current.clear();
@@ -78,6 +80,7 @@
   }
 };
 
+/// FileSystem on a FaultDisk, with the faults that are set in it.
 class FaultFileSystem : public FileSystem {
  public:
   explicit FaultFileSystem(FaultDisk& disk) : disk_(disk) {}
@@ -113,7 +116,7 @@
   boost::leaf::result<void> Truncate(const std::string& name,
                                      std::uint64_t size) override {
     std::string& content = disk_.current.at(name)->current;
-    if (content.size() > size) GiveBack(content.size() - size);
+    if (content.size() > size) FreeSpace(content.size() - size);
     content.resize(size, '\0');
     return {};
   }
@@ -133,7 +136,7 @@
   boost::leaf::result<void> Rename(const std::string& from,
                                    const std::string& to) override {
     if (disk_.current.contains(to)) {
-      GiveBack(disk_.current.at(to)->current.size());
+      FreeSpace(disk_.current.at(to)->current.size());
     }
     disk_.current[to] = disk_.current.at(from);
     disk_.current.erase(from);
@@ -142,7 +145,7 @@
   boost::leaf::result<void> Remove(const std::string& name) override {
     const auto found = disk_.current.find(name);
     if (found == disk_.current.end()) return {};
-    GiveBack(found->second->current.size());
+    FreeSpace(found->second->current.size());
     disk_.current.erase(found);
     return {};
   }
@@ -151,7 +154,7 @@
   }
 
  private:
-  void GiveBack(std::uint64_t bytes) {
+  void FreeSpace(std::uint64_t bytes) {
     if (disk_.space <= std::numeric_limits<std::uint64_t>::max() - bytes) {
       disk_.space += bytes;
     }
--- a/tests/modules/file_log_test.cc
+++ b/tests/modules/file_log_test.cc
@@ -1,5 +1,6 @@
-// Guards against a log on disk that loses synced data, applies half a write or
-// hides damage. Each fault is caused at every byte of a small log.
+// Guards against a file log that loses synced data, applies part of a write or
+// does not report corruption. Truncation, bit flips and a full disk are
+// injected at every byte of a small log.
 #include "modules/file_log/file_log.h"
 
 #include <CppUTest/TestHarness.h>
@@ -22,7 +23,7 @@
 
 namespace {
 
-/// The value or the error of a storage operation.
+/// Value or error of a storage operation.
 template <typename Value>
 struct Outcome {
   std::optional<Value> value;
@@ -43,7 +44,7 @@
       [] { return Outcome<Value>{}; });
 }
 
-/// Null on success.
+/// Returns the error of a storage operation, or nullopt if it succeeded.
 template <typename Operation>
 std::optional<StorageError> ErrorOf(Operation operation) {
   auto wrapped = [&]() -> boost::leaf::result<int> {
@@ -54,7 +55,7 @@
 }
 
 template <typename Value>
-bool Done(const boost::leaf::result<Value>& result) {
+bool Succeeded(const boost::leaf::result<Value>& result) {
   return static_cast<bool>(result);
 }
 
@@ -84,9 +85,9 @@
 /// Appends `count` entries, each with its own hard state and sync.
 void Fill(FileLog& log, LogIndex first, LogIndex count) {
   for (LogIndex index = first; index < first + count; ++index) {
-    CHECK(Done(log.SaveHardState({1, {}, index - 1, 42})));
-    CHECK(Done(log.Append({Entry(index)})));
-    CHECK(Done(log.Sync()));
+    CHECK(Succeeded(log.SaveHardState({1, {}, index - 1, 42})));
+    CHECK(Succeeded(log.Append({Entry(index)})));
+    CHECK(Succeeded(log.Sync()));
   }
 }
 
@@ -103,16 +104,18 @@
   }
 };
 
-TEST(FileLog, ReopenedLogEqualsWhatWasSynced) {
+// Guards against a reopened log that lacks synced changes or contains unsynced
+// ones.
+TEST(FileLog, ReopenedLogContainsExactlySyncedChanges) {
   {
     auto log = OpenLog(disk);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 10);
-    CHECK(Done(log->TruncateSuffix(8)));
-    CHECK(Done(log->Append({Entry(8), Entry(9)})));
-    CHECK(Done(log->SaveHardState({3, {InstanceId("b"), 7}, 5, 42})));
-    CHECK(Done(log->Sync()));
-    CHECK(Done(log->Append({Entry(10)})));
+    CHECK(Succeeded(log->TruncateSuffix(8)));
+    CHECK(Succeeded(log->Append({Entry(8), Entry(9)})));
+    CHECK(Succeeded(log->SaveHardState({3, {InstanceId("b"), 7}, 5, 42})));
+    CHECK(Succeeded(log->Sync()));
+    CHECK(Succeeded(log->Append({Entry(10)})));
   }
   const auto loaded = LoadFrom(disk);
   CHECK(loaded.value.has_value());
@@ -122,12 +125,13 @@
   CHECK(loaded.value->findings.empty());
 }
 
-// A cut is what a crash leaves of an unsynced write: the records before the cut
-// stay, and the operator is told.
-TEST(FileLog, TailCutAtEveryByteKeepsTheRecordsBefore) {
+// Guards against a crash during an unsynced write that makes the log unusable
+// or loses the records before it. The tail is truncated or zeroed from every
+// byte on, and the repair must be reported to the operator once.
+TEST(FileLog, TailTruncatedAtAnyByteKeepsPrecedingRecords) {
   {
     auto log = OpenLog(disk);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 6);
   }
   const std::string name = disk.current.begin()->first;
@@ -140,7 +144,7 @@
       copy.current[name]->current.resize(cut);
       if (zeros) copy.current[name]->current.resize(size, '\0');
       const auto loaded = LoadFrom(copy);
-      CHECK_TEXT(loaded.value.has_value(), "a torn tail is repaired");
+      CHECK_TEXT(loaded.value.has_value(), "a torn tail was not repaired");
       const LogIndex last = loaded.value->entries.size();
       CheckEntries(*loaded.value, 1, last);
       CHECK(last >= previous);
@@ -152,17 +156,20 @@
     }
   }
   LONGS_EQUAL(6, previous);
-  // The start, and 6 hard states and 6 entries end at record boundaries.
+  // A truncation at a record boundary needs no repair: there are 13, after the
+  // segment start, 6 hard states and 6 entries.
   LONGS_EQUAL(13, without_finding);
 }
 
-TEST(FileLog, FlipOfEveryBitIsReportedWithFileAndOffset) {
+// Guards against corruption that loads without an error, or whose error doesn't
+// name the file and an offset at or before the corrupt byte.
+TEST(FileLog, AnyFlippedBitIsReportedWithFileAndOffset) {
   {
     auto log = OpenLog(disk, kSmallSegments);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 8);
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(2))));
-    CHECK(Done(log->Sync()));
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(2))));
+    CHECK(Succeeded(log->Sync()));
   }
   CHECK(disk.current.size() >= 3);
   for (const auto& [name, file] : disk.current) {
@@ -171,7 +178,7 @@
         FaultDisk copy = disk.Copy();
         copy.current[name]->current[at] ^= static_cast<char>(1 << bit);
         const auto loaded = LoadFrom(copy, kSmallSegments);
-        CHECK_TEXT(loaded.error.has_value(), "a flipped bit went unnoticed");
+        CHECK_TEXT(loaded.error.has_value(), "a flipped bit was not detected");
         CHECK(loaded.error->code == StorageError::Code::kCorrupt);
         STRCMP_EQUAL(("disk/" + name).c_str(), loaded.error->file.c_str());
         CHECK(loaded.error->offset <= at);
@@ -180,10 +187,12 @@
   }
 }
 
-TEST(FileLog, CutOrLossOfAnEarlierSegmentIsReported) {
+// Guards against a truncated or missing segment that passes for a torn write
+// although later segments follow it.
+TEST(FileLog, TruncatedOrMissingEarlierSegmentIsReported) {
   {
     auto log = OpenLog(disk, kSmallSegments);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 20);
   }
   CHECK(disk.current.size() >= 3);
@@ -200,31 +209,34 @@
   STRCMP_EQUAL(("disk/" + second).c_str(), loaded.error->file.c_str());
 }
 
-// Votes are in the segments: a replica that forgets them could vote twice.
+// The segments store the votes: a replica that loses them could vote twice in a
+// term.
 TEST(FileLog, SnapshotWithoutSegmentsIsReported) {
   {
     auto log = OpenLog(disk);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 3);
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(2))));
-    CHECK(Done(log->Sync()));
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(2))));
+    CHECK(Succeeded(log->Sync()));
   }
   std::erase_if(disk.current,
                 [](const auto& file) { return file.first != "snapshot"; });
   CHECK(LoadFrom(disk).error.has_value());
 }
 
-TEST(FileLog, FullDiskAppliesNothingAndGoesOnOnceSpaceReturns) {
+// Guards against a partly applied Sync() on a full disk, and against a log that
+// does not recover when space is free again.
+TEST(FileLog, SyncOnFullDiskAppliesNothingAndSucceedsOnceSpaceIsFree) {
   for (std::uint64_t space = 0; space < 1500; ++space) {
     FaultDisk full;
     auto log = OpenLog(full, kSmallSegments);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 4);
     full.space = space;
-    CHECK(Done(log->SaveHardState({5, {}, 4, 42})));
-    CHECK(Done(log->Append({Entry(5), Entry(6), Entry(7)})));
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(3))));
-    CHECK(Done(log->CompactPrefix(3)));
+    CHECK(Succeeded(log->SaveHardState({5, {}, 4, 42})));
+    CHECK(Succeeded(log->Append({Entry(5), Entry(6), Entry(7)})));
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(3))));
+    CHECK(Succeeded(log->CompactPrefix(3)));
     const auto error = ErrorOf([&] { return log->Sync(); });
     if (error) {
       CHECK(error->code == StorageError::Code::kNoSpace);
@@ -234,7 +246,7 @@
       CHECK(loaded.value->hard_state.term == 1);
       LONGS_EQUAL(4, loaded.value->entries.back().index);
       full.space = 10000;
-      CHECK(Done(log->Append({Entry(8)})));
+      CHECK(Succeeded(log->Append({Entry(8)})));
       CHECK(!ErrorOf([&] { return log->Sync(); }).has_value());
     }
     const auto loaded = LoadFrom(full, kSmallSegments);
@@ -246,16 +258,16 @@
   }
 }
 
-// After a failed sync the pages may be marked clean without being written, so
-// the data must be written once more, not only synced once more.
-TEST(FileLog, FailedSyncIsRepeatedWithTheData) {
+// After a failed sync the kernel may mark pages as clean without having written
+// them, so the retry must write the data again and not only sync again.
+TEST(FileLog, RetryAfterFailedSyncWritesTheDataAgain) {
   for (std::uint64_t syncs = 0; syncs < 5; ++syncs) {
     FaultDisk failing;
     auto log = OpenLog(failing, kSmallSegments);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 4);
-    CHECK(Done(log->Append({Entry(5), Entry(6), Entry(7)})));
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(3))));
+    CHECK(Succeeded(log->Append({Entry(5), Entry(6), Entry(7)})));
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(3))));
     failing.syncs_left = syncs;
     const bool failed = ErrorOf([&] { return log->Sync(); }).has_value();
     failing.syncs_left = 1000;
@@ -268,18 +280,20 @@
   }
 }
 
-// Every crash leaves the synced entries and perhaps later ones, in order.
-TEST(FileLog, CrashLosesNothingThatWasSynced) {
+// Guards against a crash that loses synced entries. After each crash the log
+// holds all synced entries and possibly later ones, in order.
+TEST(FileLog, CrashKeepsAllSyncedEntries) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Random random(seed);
     FaultDisk crashing;
     LogIndex synced = 0;
     LogIndex snapshot = 0;
     LogIndex last = 0;
-    for (int life = 0; life < 6; ++life) {
+    for (int restart = 0; restart < 6; ++restart) {
       auto log = OpenLog(crashing, kSmallSegments);
       const auto loaded = Attempt([&] { return log->Load(); });
-      CHECK_TEXT(loaded.value.has_value(), "a crash is no damage");
+      CHECK_TEXT(loaded.value.has_value(),
+                 "a crash was reported as corruption");
       const auto& state = *loaded.value;
       const LogIndex base = state.snapshot ? state.snapshot->index : 0;
       CHECK(base >= snapshot);
@@ -291,11 +305,11 @@
       last = synced = found;
       snapshot = base;
       for (int step = 0; step < 30; ++step) {
-        if (random.Chance(0.7)) CHECK(Done(log->Append({Entry(++last)})));
+        if (random.Chance(0.7)) CHECK(Succeeded(log->Append({Entry(++last)})));
         if (random.Chance(0.1) && synced > snapshot) {
-          CHECK(Done(log->SaveSnapshot(SnapshotAt(synced))));
-          CHECK(Done(log->CompactPrefix(synced)));
-          CHECK(Done(log->Sync()));
+          CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(synced))));
+          CHECK(Succeeded(log->CompactPrefix(synced)));
+          CHECK(Succeeded(log->Sync()));
           snapshot = synced;
           synced = last;
         }
@@ -306,7 +320,7 @@
           break;
         }
         if (random.Chance(0.4)) {
-          CHECK(Done(log->Sync()));
+          CHECK(Succeeded(log->Sync()));
           synced = last;
         }
       }
@@ -315,40 +329,43 @@
   }
 }
 
-// A crash between the received snapshot and the reset of the log.
-TEST(FileLog, SnapshotAheadOfTheLogReplacesIt) {
+// Guards against a log that stays unusable after a crash between saving a
+// received snapshot and resetting the log.
+TEST(FileLog, SnapshotAheadOfTheLogReplacesTheLog) {
   {
     auto log = OpenLog(disk);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     Fill(*log, 1, 5);
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(9, 2))));
-    CHECK(Done(log->Sync()));
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(9, 2))));
+    CHECK(Succeeded(log->Sync()));
   }
   {
     auto log = OpenLog(disk);
     const auto loaded = Attempt([&] { return log->Load(); });
     CHECK(loaded.value->entries.empty());
     LONGS_EQUAL(1, loaded.value->findings.items().size());
-    CHECK(Done(log->Append({Entry(10, 2)})));
-    CHECK(Done(log->Sync()));
+    CHECK(Succeeded(log->Append({Entry(10, 2)})));
+    CHECK(Succeeded(log->Sync()));
   }
   const auto loaded = LoadFrom(disk);
   CHECK(loaded.value->findings.empty());
   LONGS_EQUAL(1, loaded.value->entries.size());
 }
 
+// Guards against disk use that grows with the number of entries although
+// snapshots cover them.
 TEST(FileLog, SnapshotsBoundTheDiskUse) {
   constexpr FileLogOptions kOptions{.segment_bytes = 16 * 1024};
   auto log = OpenLog(disk, kOptions);
-  CHECK(Done(log->Load()));
+  CHECK(Succeeded(log->Load()));
   std::uint64_t most = 0;
   for (LogIndex index = 1; index <= 20000; ++index) {
-    CHECK(Done(log->Append({Entry(index)})));
+    CHECK(Succeeded(log->Append({Entry(index)})));
     if (index % 100 != 0) continue;
-    CHECK(Done(log->SaveSnapshot(SnapshotAt(index))));
-    CHECK(Done(log->CompactPrefix(index)));
-    CHECK(Done(log->Sync()));
-    most = std::max(most, disk.Used());
+    CHECK(Succeeded(log->SaveSnapshot(SnapshotAt(index))));
+    CHECK(Succeeded(log->CompactPrefix(index)));
+    CHECK(Succeeded(log->Sync()));
+    most = std::max(most, disk.UsedBytes());
   }
   // Two segments, the live entries and the snapshot.
   CHECK(most <= 2 * kOptions.segment_bytes + 16 * 1024);
@@ -365,16 +382,16 @@
 };
 
 // The target is a restart within 1 s after 10,000 changes.
-TEST(FileLogOnDisk, ReopensTenThousandEntriesInTime) {
+TEST(FileLogOnDisk, ReopensTenThousandEntriesWithinOneSecond) {
   constexpr LogIndex kEntries = 10000;
   {
     auto log = LogStorages().Create("file_log", folder);
-    CHECK(Done(log->Load()));
+    CHECK(Succeeded(log->Load()));
     for (LogIndex index = 1; index <= kEntries; ++index) {
       LogEntry entry = Entry(index);
       entry.data.resize(500, 'x');
-      CHECK(Done(log->Append({entry})));
-      if (index % 500 == 0) CHECK(Done(log->Sync()));
+      CHECK(Succeeded(log->Append({entry})));
+      if (index % 500 == 0) CHECK(Succeeded(log->Sync()));
     }
   }
   const auto start = std::chrono::steady_clock::now();
@@ -389,12 +406,14 @@
   CHECK(took < std::chrono::seconds(1));
 }
 
-TEST(FileLogOnDisk, SecondProcessOnTheFolderIsRefused) {
+// Guards against two logs on the same directory, which could vote twice in a
+// term.
+TEST(FileLogOnDisk, SecondLogOnSameDirectoryIsRefused) {
   auto first = LogStorages().Create("file_log", folder);
-  CHECK(Done(first->Load()));
+  CHECK(Succeeded(first->Load()));
   auto second = LogStorages().Create("file_log", folder);
   CHECK(ErrorOf([&] { return second->Load(); }).has_value());
   first.reset();
   auto third = LogStorages().Create("file_log", folder);
-  CHECK(Done(third->Load()));
+  CHECK(Succeeded(third->Load()));
 }
