--- a/modules/openai_endpoint/openai_chunk_parser.cc
+++ b/modules/openai_endpoint/openai_chunk_parser.cc
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// One event carries one token; a longer line is no such event.
+// An event carries one token, so a longer line is malformed.
 constexpr std::size_t kMaxLineBytes = 1 << 20;
 
 bool ReadText(const json& choice, bool chat, std::string* text) {
@@ -36,16 +36,16 @@
     if (end == std::string::npos) break;
     std::string_view line(buffer_.data() + start, end - start);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    if (!TakeLine(line, chunks)) return false;
+    if (!ParseLine(line, chunks)) return false;
     start = end + 1;
   }
   buffer_.erase(0, start);
   return buffer_.size() <= kMaxLineBytes;
 }
 
-bool OpenAiChunkParser::TakeLine(std::string_view line,
-                                 std::vector<StreamChunk>* chunks) {
-  if (line.empty()) return EndEvent(chunks);
+bool OpenAiChunkParser::ParseLine(std::string_view line,
+                                  std::vector<StreamChunk>* chunks) {
+  if (line.empty()) return DispatchEvent(chunks);
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0) return true;
   const std::string_view field = line.substr(0, colon);
@@ -63,7 +63,7 @@
   return true;
 }
 
-bool OpenAiChunkParser::EndEvent(std::vector<StreamChunk>* chunks) {
+bool OpenAiChunkParser::DispatchEvent(std::vector<StreamChunk>* chunks) {
   if (data_.empty()) return true;
   const std::string data = std::move(data_);
   data_.clear();
@@ -73,7 +73,7 @@
       !document["choices"].is_array()) {
     return false;
   }
-  // The usage event of some engines has no choice.
+  // Some engines send a usage event, whose `choices` is empty.
   if (document["choices"].empty()) return true;
   const json& choice = document["choices"][0];
   StreamChunk chunk;
--- a/modules/openai_endpoint/openai_chunk_parser.h
+++ b/modules/openai_endpoint/openai_chunk_parser.h
@@ -1,4 +1,4 @@
-// Splits a text/event-stream answer into numbered chunks of text.
+// Parses a text/event-stream (SSE) answer into numbered chunks of text.
 #ifndef MODULES_OPENAI_ENDPOINT_OPENAI_CHUNK_PARSER_H_
 #define MODULES_OPENAI_ENDPOINT_OPENAI_CHUNK_PARSER_H_
 
@@ -11,6 +11,8 @@
 
 namespace cassiausher {
 
+/// Parses chat completion chunks if `chat` is true, or else text completion
+/// chunks.
 class OpenAiChunkParser : public ChunkParser {
  public:
   explicit OpenAiChunkParser(bool chat) : chat_(chat) {}
@@ -18,15 +20,19 @@
   bool Feed(std::string_view bytes, std::vector<StreamChunk>* chunks) override;
 
  private:
-  bool TakeLine(std::string_view line, std::vector<StreamChunk>* chunks);
-  bool EndEvent(std::vector<StreamChunk>* chunks);
+  /// Both return false if the stream is malformed.
+  bool ParseLine(std::string_view line, std::vector<StreamChunk>* chunks);
+  bool DispatchEvent(std::vector<StreamChunk>* chunks);
 
   bool chat_;
+  /// Received bytes of an incomplete line.
   std::string buffer_;
+  /// Data of the event being read.
   std::string data_;
-  /// Number of the event being read; 0 until its "id" line.
+  /// Number from the "id" line of the event being read, or 0 if it has none.
   std::uint64_t sequence_ = 0;
-  /// For engines that send no "id" lines.
+  /// Number of the last chunk; the next chunk follows it if the engine sends no
+  /// "id" lines.
   std::uint64_t last_sequence_ = 0;
 };
 
--- a/modules/openai_endpoint/openai_driver.cc
+++ b/modules/openai_endpoint/openai_driver.cc
@@ -13,12 +13,14 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kCharactersPerToken = 4;
-constexpr std::size_t kShortestPrefix = 1024;
+/// Used to estimate the number of prompt tokens.
+constexpr std::size_t kBytesPerToken = 4;
+constexpr std::size_t kMinPrefixBytes = 1024;
 constexpr std::int64_t kDefaultMaxTokens = 256;
-constexpr std::int64_t kHighestMaxTokens = 1 << 20;
+constexpr std::int64_t kMaxTokensLimit = 1 << 20;
 
-// Fields that the router sets on its calls; a caller's own values would clash.
+// Fields that the router sets in its calls. They are removed from the caller's
+// body, since the caller's values would conflict.
 constexpr const char* kRouterFields[] = {"max_tokens",
                                          "max_completion_tokens",
                                          "stream",
@@ -27,14 +29,14 @@
                                          "kv_transfer_params",
                                          "cassiausher_resume_tokens"};
 
-std::string PromptOfMessages(const json& messages, Findings* findings) {
+std::string ConcatenateMessages(const json& messages, Findings* findings) {
   std::string prompt;
   for (std::size_t i = 0; i < messages.size(); ++i) {
     const json& message = messages[i];
-    const std::string place = fmt::format("body#/messages/{}", i);
+    const std::string location = fmt::format("body#/messages/{}", i);
     if (!message.is_object() || !message.contains("role") ||
         !message.contains("content") || !message["content"].is_string()) {
-      findings->Add(place, "must have a role and a content string");
+      findings->Add(location, "must have a role and a content string");
       continue;
     }
     prompt += message["content"].get_ref<const std::string&>();
@@ -49,7 +51,7 @@
       findings->Add("body#/messages", "must be an array with a message");
       return {};
     }
-    return PromptOfMessages(document["messages"], findings);
+    return ConcatenateMessages(document["messages"], findings);
   }
   if (!document.contains("prompt") || !document["prompt"].is_string()) {
     findings->Add("body#/prompt", "must be a string");
@@ -58,18 +60,22 @@
   return document["prompt"].get<std::string>();
 }
 
+/// Hashes the prefixes of `prompt` whose lengths are kMinPrefixBytes times a
+/// power of two.
 std::vector<std::uint64_t> PrefixHashes(const std::string& prompt) {
   std::vector<std::uint64_t> hashes;
-  for (std::size_t length = kShortestPrefix; length <= prompt.size();
+  for (std::size_t length = kMinPrefixBytes; length <= prompt.size();
        length *= 2) {
     hashes.push_back(XXH3_64bits(prompt.data(), length));
   }
   return hashes;
 }
 
-EndpointCall NewCall(const CallerRequest& request, const CallContext& context,
-                     const std::string& endpoint_url,
-                     const std::string& fields) {
+/// Builds a call with the request's body, to which the priority and `fields`
+/// are appended. `fields` are JSON members separated by commas.
+EndpointCall BuildCall(const CallerRequest& request, const CallContext& context,
+                       const std::string& endpoint_url,
+                       const std::string& fields) {
   EndpointCall call;
   call.url = endpoint_url +
              (request.chat ? "/v1/chat/completions" : "/v1/completions");
@@ -79,7 +85,8 @@
   if (!request.key.empty()) {
     call.headers.emplace_back("Idempotency-Key", request.key.value());
   }
-  // ParseRequest left an object with at least the model in it.
+  // ParseRequest() ensures that the body is an object that contains `model`, so
+  // replacing its closing brace by a comma and more members keeps it valid.
   call.body = fmt::format(
       "{},\"priority\":{},{}}}",
       std::string_view(request.body).substr(0, request.body.size() - 1),
@@ -106,12 +113,12 @@
 
   std::int64_t max_tokens = kDefaultMaxTokens;
   JsonReader reader(document, "body", "", findings);
-  reader.Read("max_tokens", &max_tokens, 1, kHighestMaxTokens);
-  reader.Read("max_completion_tokens", &max_tokens, 1, kHighestMaxTokens);
+  reader.Read("max_tokens", &max_tokens, 1, kMaxTokensLimit);
+  reader.Read("max_completion_tokens", &max_tokens, 1, kMaxTokensLimit);
   reader.Read("stream", &request->stream);
   request->max_output_tokens = Tokens(max_tokens);
   request->prompt_tokens = Tokens(static_cast<std::int64_t>(
-      (prompt.size() + kCharactersPerToken - 1) / kCharactersPerToken));
+      (prompt.size() + kBytesPerToken - 1) / kBytesPerToken));
   request->prefix_hashes = PrefixHashes(prompt);
 
   for (const char* field : kRouterFields) document.erase(field);
@@ -121,9 +128,9 @@
 EndpointCall OpenAiDriver::BuildPrefill(const CallerRequest& request,
                                         const CallContext& context,
                                         const std::string& endpoint_url) const {
-  return NewCall(request, context, endpoint_url,
-                 "\"max_tokens\":1,\"stream\":false,\"kv_transfer_params\":"
-                 "{\"do_remote_decode\":true,\"do_remote_prefill\":false}");
+  return BuildCall(request, context, endpoint_url,
+                   "\"max_tokens\":1,\"stream\":false,\"kv_transfer_params\":"
+                   "{\"do_remote_decode\":true,\"do_remote_prefill\":false}");
 }
 
 bool OpenAiDriver::ParsePrefill(std::string_view body,
@@ -156,16 +163,16 @@
   if (!transfer_parameters.empty()) {
     fields += ",\"kv_transfer_params\":" + transfer_parameters;
   }
-  return NewCall(request, context, endpoint_url, fields);
+  return BuildCall(request, context, endpoint_url, fields);
 }
 
 EndpointCall OpenAiDriver::BuildResume(const CallerRequest& request,
                                        const CallContext& context,
                                        const std::string& endpoint_url,
                                        std::uint64_t delivered_chunks) const {
-  EndpointCall call = NewCall(request, context, endpoint_url,
-                              fmt::format("\"max_tokens\":{},\"stream\":true",
-                                          request.max_output_tokens.value()));
+  EndpointCall call = BuildCall(request, context, endpoint_url,
+                                fmt::format("\"max_tokens\":{},\"stream\":true",
+                                            request.max_output_tokens.value()));
   call.headers.emplace_back("Last-Event-ID", fmt::to_string(delivered_chunks));
   return call;
 }
--- a/modules/openai_endpoint/openai_driver.h
+++ b/modules/openai_endpoint/openai_driver.h
@@ -15,8 +15,8 @@
 
 class OpenAiDriver : public EndpointDriver {
  public:
-  /// Also rewrites `body`: fields that the calls to engines set are taken out,
-  /// so that each call appends its own without parsing the prompt again.
+  /// Also removes the fields from `body` that the router sets in its calls to
+  /// engines, so that each call can append them without parsing the body again.
   void ParseRequest(CallerRequest* request, Findings* findings) const override;
 
   EndpointCall BuildPrefill(const CallerRequest& request,
--- a/modules/openai_endpoint/register_types.h
+++ b/modules/openai_endpoint/register_types.h
@@ -1,4 +1,4 @@
-// Registers the driver for OpenAI-style engines.
+// Registers the driver for engines with an OpenAI-style HTTP API.
 #ifndef MODULES_OPENAI_ENDPOINT_REGISTER_TYPES_H_
 #define MODULES_OPENAI_ENDPOINT_REGISTER_TYPES_H_
 
@@ -6,6 +6,7 @@
 
 namespace cassiausher {
 
+/// Registers `openai` in `registry`.
 void RegisterOpenAiEndpoint(EndpointDriverRegistry& registry);
 
 }  // namespace cassiausher
