--- a/modules/file_log/file_log.cc
+++ b/modules/file_log/file_log.cc
@@ -17,14 +17,16 @@
 constexpr std::string_view kSegmentPrefix = "segment-";
 constexpr char kSnapshotName[] = "snapshot";
 constexpr char kSnapshotTemporary[] = "snapshot.tmp";
-/// Seed of the snapshot's record; segments use their sequence from 1 on.
+/// Checksum seed of the snapshot file. Segments use their sequence number,
+/// which starts at 1, as the seed.
 constexpr std::uint64_t kSnapshotSeed = 0;
 
 std::string SegmentName(std::uint64_t sequence) {
   return fmt::format("{}{:016x}", kSegmentPrefix, sequence);
 }
 
-/// Runs a clean-up whose failure must not replace the error being reported.
+/// Runs a best-effort operation and ignores its error, so that it does not
+/// replace the error being reported.
 template <typename Operation>
 void IgnoreFailure(Operation operation) {
   boost::leaf::try_handle_all(
@@ -32,6 +34,7 @@
       [](const StorageError&) {}, [] {});
 }
 
+/// Returns nullopt if `name` is not the name of a segment file.
 std::optional<std::uint64_t> SegmentSequence(const std::string& name) {
   if (!name.starts_with(kSegmentPrefix)) return std::nullopt;
   std::uint64_t sequence = 0;
@@ -88,11 +91,12 @@
     BOOST_LEAF_CHECK(ReplaySegment(name, is_last, replay));
   }
   BOOST_LEAF_AUTO(snapshot, LoadSnapshot());
-  // Votes are in the segments; without them this replica could vote twice.
+  // The segments store this replica's votes; without them it could vote twice
+  // in a term.
   if (has_snapshot && segments_.empty()) {
     return Corrupt(SegmentName(1), 0, "there is a snapshot but no segment");
   }
-  return JoinWithSnapshot(std::move(replay), std::move(snapshot));
+  return ReconcileWithSnapshot(std::move(replay), std::move(snapshot));
 }
 
 boost::leaf::result<void> FileLog::ReplaySegment(const std::string& name,
@@ -106,8 +110,8 @@
     const RecordCheck check =
         DecodeRecord(content, sequence, offset, record, size);
     if (check != RecordCheck::kValid) {
-      return CutTornTail(name, sequence, content, offset, is_last, check,
-                         replay);
+      return TruncateTornTail(name, sequence, content, offset, is_last, check,
+                              replay);
     }
     if (offset == 0) {
       BOOST_LEAF_CHECK(ReplayStart(name, sequence, record, replay));
@@ -119,16 +123,16 @@
       segment.max_index = std::max(segment.max_index, replay.last());
     }
     offset += size;
-    size_ = offset;
+    synced_size_ = offset;
   }
   return {};
 }
 
-boost::leaf::result<void> FileLog::CutTornTail(
+boost::leaf::result<void> FileLog::TruncateTornTail(
     const std::string& name, std::uint64_t sequence, const std::string& content,
     std::uint64_t offset, bool is_last, RecordCheck check, Replay& replay) {
-  // A write that was not synced leaves a short file or zeros at its end, and
-  // nothing valid follows it. Everything else is damage to synced data.
+  // After a crash, an unsynced write is either truncated or ends in zeros, and
+  // no valid record follows it. Anything else is corruption of synced data.
   const bool zeros_at_end = !content.empty() && content.back() == '\0';
   const bool torn = check == RecordCheck::kIncomplete || zeros_at_end;
   if (!is_last || !torn || HasRecordAfter(content, sequence, offset)) {
@@ -138,14 +142,15 @@
                        : "the record's checksum does not match");
   }
   if (offset == 0) {
-    // The segment was being created and holds nothing that was synced.
+    // The crash came while the segment was being created, so it holds no synced
+    // record.
     BOOST_LEAF_CHECK(files_->Remove(name));
     BOOST_LEAF_CHECK(files_->SyncFolder());
     segments_.pop_back();
     if (!segments_.empty()) {
       BOOST_LEAF_AUTO(previous,
                       files_->Read(SegmentName(segments_.back().sequence)));
-      size_ = previous.size();
+      synced_size_ = previous.size();
     }
     replay.findings.Add(files_->Path(name),
                         "removed a segment that was not finished");
@@ -214,7 +219,8 @@
              replay.last() >= message.first_removed()) {
         replay.entries.pop_back();
       }
-      // The entries before are covered by the snapshot and were removed.
+      // If this lowers `base`, the entries up to it are covered by the snapshot
+      // and were removed.
       replay.base = std::min(replay.base, message.first_removed() - 1);
       return {};
     }
@@ -230,7 +236,7 @@
   }
 }
 
-boost::leaf::result<StoredState> FileLog::JoinWithSnapshot(
+boost::leaf::result<StoredState> FileLog::ReconcileWithSnapshot(
     Replay replay, std::optional<Snapshot> snapshot) {
   snapshot_index_ = snapshot ? snapshot->index : 0;
   compact_to_ = snapshot_index_;
@@ -243,22 +249,24 @@
   StoredState state;
   state.hard_state = replay.hard_state;
   state.findings = replay.findings;
-  last_ = durable_last_ = replay.last();
-  state_ = durable_state_ = replay.hard_state;
-  // The entry that the snapshot ends with; null if the log starts after it.
-  const LogEntry* joint = nullptr;
+  last_index_ = durable_last_index_ = replay.last();
+  hard_state_ = durable_hard_state_ = replay.hard_state;
+  // Log entry at the snapshot's index, or null if the log does not contain it.
+  const LogEntry* snapshot_entry = nullptr;
   if (snapshot_index_ > replay.base && snapshot_index_ <= replay.last()) {
-    joint = &replay.entries[snapshot_index_ - replay.base - 1];
+    snapshot_entry = &replay.entries[snapshot_index_ - replay.base - 1];
   }
-  const bool continues = replay.base == snapshot_index_ ||
-                         (joint != nullptr && joint->term == snapshot->term);
+  const bool continues =
+      replay.base == snapshot_index_ ||
+      (snapshot_entry != nullptr && snapshot_entry->term == snapshot->term);
   if (continues) {
     const LogIndex skipped = snapshot_index_ - replay.base;
     state.entries.assign(
         replay.entries.begin() + static_cast<std::ptrdiff_t>(skipped),
         replay.entries.end());
   } else {
-    // A crash came after the snapshot was saved and before the log was reset.
+    // The replica crashed after it saved a received snapshot and before it
+    // reset the log.
     state.findings.Add(files_->Path(kSnapshotName),
                        "the log does not reach the snapshot; its entries are "
                        "replaced by the snapshot");
@@ -292,23 +300,23 @@
 // --- Changes ---------------------------------------------------------------
 
 void FileLog::AddRecord(RecordKind kind, std::string payload) {
-  pending_.push_back({kind, std::move(payload)});
+  pending_records_.push_back({kind, std::move(payload)});
 }
 
 boost::leaf::result<void> FileLog::Append(
     const std::vector<LogEntry>& entries) {
-  LogIndex expected = last_ + 1;
+  LogIndex expected = last_index_ + 1;
   for (const LogEntry& entry : entries) {
     if (entry.index != expected++) {
-      return Misuse(
-          fmt::format("entry {} does not follow entry {}", entry.index, last_));
+      return Misuse(fmt::format("entry {} does not follow entry {}",
+                                entry.index, last_index_));
     }
   }
   for (const LogEntry& entry : entries) {
     AddRecord(RecordKind::kEntry, ToProto(entry).SerializeAsString());
-    last_ = entry.index;
+    last_index_ = entry.index;
   }
-  pending_max_index_ = std::max(pending_max_index_, last_);
+  pending_max_index_ = std::max(pending_max_index_, last_index_);
   return {};
 }
 
@@ -317,11 +325,11 @@
     return Misuse(
         fmt::format("entry {} is covered by the snapshot", first_removed));
   }
-  if (first_removed > last_) return {};
+  if (first_removed > last_index_) return {};
   proto::FileLogTruncate message;
   message.set_first_removed(first_removed);
   AddRecord(RecordKind::kTruncate, message.SerializeAsString());
-  last_ = first_removed - 1;
+  last_index_ = first_removed - 1;
   return {};
 }
 
@@ -333,13 +341,13 @@
   message.set_index(index);
   message.set_term(term);
   AddRecord(RecordKind::kReset, message.SerializeAsString());
-  last_ = index;
+  last_index_ = index;
   return {};
 }
 
 boost::leaf::result<void> FileLog::SaveHardState(const HardState& state) {
   AddRecord(RecordKind::kHardState, ToProto(state).SerializeAsString());
-  state_ = state;
+  hard_state_ = state;
   return {};
 }
 
@@ -383,7 +391,7 @@
   };
   auto written = write();
   if (!written) {
-    // Frees the space.
+    // Frees the disk space of the partial file.
     IgnoreFailure([&] { return files_->Remove(kSnapshotTemporary); });
     return written;
   }
@@ -393,38 +401,38 @@
 }
 
 boost::leaf::result<void> FileLog::SyncRecords() {
-  if (pending_.empty()) return {};
+  if (pending_records_.empty()) return {};
   std::string bytes;
-  const auto encode = [&](std::uint64_t seed, std::uint64_t start) {
-    for (const Record& record : pending_) {
-      EncodeRecord(record, seed, start + bytes.size(), bytes);
+  const auto encode = [&](std::uint64_t seed, std::uint64_t start_offset) {
+    for (const Record& record : pending_records_) {
+      EncodeRecord(record, seed, start_offset + bytes.size(), bytes);
     }
   };
-  if (!segments_.empty()) encode(segments_.back().sequence, size_);
+  if (!segments_.empty()) encode(segments_.back().sequence, synced_size_);
   const bool needs_segment =
-      segments_.empty() || size_ + bytes.size() > options_.segment_bytes;
+      segments_.empty() || synced_size_ + bytes.size() > options_.segment_bytes;
   if (needs_segment) {
     BOOST_LEAF_CHECK(StartSegment());
   } else {
     const std::string name = SegmentName(segments_.back().sequence);
     auto write = [&]() -> boost::leaf::result<void> {
-      BOOST_LEAF_CHECK(files_->Write(name, size_, bytes));
+      BOOST_LEAF_CHECK(files_->Write(name, synced_size_, bytes));
       return files_->SyncFile(name);
     };
     auto written = write();
     if (!written) {
-      // Nothing half applied stays, and the space is free for others.
-      IgnoreFailure([&] { return files_->Truncate(name, size_); });
+      // Discards the partial write, which also frees its disk space.
+      IgnoreFailure([&] { return files_->Truncate(name, synced_size_); });
       return written;
     }
-    size_ += bytes.size();
+    synced_size_ += bytes.size();
   }
   Segment& segment = segments_.back();
   segment.max_index = std::max(segment.max_index, pending_max_index_);
-  pending_.clear();
+  pending_records_.clear();
   pending_max_index_ = 0;
-  durable_last_ = last_;
-  durable_state_ = state_;
+  durable_last_index_ = last_index_;
+  durable_hard_state_ = hard_state_;
   return {};
 }
 
@@ -433,12 +441,12 @@
       segments_.empty() ? 1 : segments_.back().sequence + 1;
   proto::FileLogSegmentStart start;
   start.set_sequence(sequence);
-  start.set_previous_index(durable_last_);
-  *start.mutable_hard_state() = ToProto(durable_state_);
+  start.set_previous_index(durable_last_index_);
+  *start.mutable_hard_state() = ToProto(durable_hard_state_);
   std::string bytes;
   EncodeRecord({RecordKind::kSegmentStart, start.SerializeAsString()}, sequence,
                0, bytes);
-  for (const Record& record : pending_) {
+  for (const Record& record : pending_records_) {
     EncodeRecord(record, sequence, bytes.size(), bytes);
   }
   const std::string name = SegmentName(sequence);
@@ -453,16 +461,16 @@
     IgnoreFailure([&] { return files_->Remove(name); });
     return written;
   }
-  segments_.push_back({sequence, durable_last_});
-  size_ = bytes.size();
+  segments_.push_back({sequence, durable_last_index_});
+  synced_size_ = bytes.size();
   return {};
 }
 
 void FileLog::RemoveCompacted() {
   if (pending_snapshot_) return;
   while (segments_.size() > 1 && segments_.front().max_index <= compact_to_) {
-    // One after the other, so that a crash leaves no gap between segments. A
-    // segment that can't be removed now stays until the next sync.
+    // Each removal is synced before the next, so that a crash leaves no gap
+    // between segments. A failed removal is retried by the next Sync().
     bool removed = false;
     IgnoreFailure([&]() -> boost::leaf::result<void> {
       BOOST_LEAF_CHECK(files_->Remove(SegmentName(segments_.front().sequence)));
