--- a/modules/file_log/file_log.h
+++ b/modules/file_log/file_log.h
@@ -26,9 +26,9 @@
 };
 
 /// Not thread safe; usually owned by the storage task. Changes are buffered in
-/// memory until Sync(), which writes all pending records with one call. After a
-/// failed write or sync the file is truncated to its synced size, and the next
-/// Sync() writes the records again.
+/// memory until Sync(), which writes all pending records with one call. If that
+/// fails, the segment is truncated to its synced size, or removed if it is new,
+/// and the next Sync() writes the records again.
 class FileLog : public LogStorage {
  public:
   explicit FileLog(std::unique_ptr<FileSystem> files,
