--- a/main/configuration_service.cc
+++ b/main/configuration_service.cc
@@ -17,7 +17,7 @@
 // See kConfigurationLease in replica_host.cc.
 constexpr Duration kFollowInterval = Milliseconds(600);
 constexpr Duration kChangeRetryInterval = Milliseconds(400);
-// Longer than the change timeout and an election together.
+// Longer than the coordinator's default change timeout (2 s) plus an election.
 constexpr Duration kChangeTimeout = Seconds(12);
 constexpr Duration kCommandRetryInterval = Milliseconds(250);
 constexpr const char* kStorageName = "file_log";
--- a/main/control_node.cc
+++ b/main/control_node.cc
@@ -18,14 +18,15 @@
 // this period.
 constexpr Duration kPlacementPeriod = Milliseconds(25);
 constexpr Duration kSyncPeriod = Milliseconds(600);
-// An entry instance that hasn't sent Follow for this long gets no updates.
+// A follower in this file is an entry instance that sends Follow, not a Raft
+// follower. One that hasn't sent Follow for this long gets no updates.
 constexpr Duration kFollowerLifetime = Seconds(6);
 // A control instance is advertised to others only while its own messages
 // arrive, so that one that has gone isn't advertised forever.
 constexpr Duration kAdvertisedTtl = Seconds(10);
 constexpr Duration kControlLifetime = Seconds(30);
-// A sync repeats heartbeats from before the last sync by this margin, since
-// ticks may be late.
+// Each sync also resends records seen up to this long before the last sync,
+// since ticks may be late.
 constexpr Duration kSyncOverlap = Milliseconds(300);
 
 constexpr const char* kJson = "application/json";
--- a/main/query_service.cc
+++ b/main/query_service.cc
@@ -11,8 +11,8 @@
 
 constexpr Duration kAnswerTimeout = Milliseconds(1000);
 
-// Tables whose rows differ by instance; any instance can answer the others
-// alone.
+// Whether instances hold different rows of the table, so that all must be
+// asked. Any one instance can answer a query on another table.
 bool IsDistributed(const std::string& table) {
   return table == "requests" || table == "endpoints" || table == "instances" ||
          table == "owners" || table == "changes";
--- a/main/replica_host.cc
+++ b/main/replica_host.cc
@@ -8,15 +8,15 @@
 namespace cassiausher {
 namespace {
 
-// A quorum read this often confirms leadership.
+// Interval of the quorum reads by which the leader confirms its leadership.
 constexpr Duration kQuorumReadPeriod = Milliseconds(600);
 constexpr Duration kClaimCheckPeriod = Seconds(2);
 // Four heartbeats fit into the shortest election timeout; at 100 ms the leader
 // alone sent 1.6 KB/s of heartbeats.
 constexpr Duration kHeartbeat = Milliseconds(250);
-// With quorum contact and Follow every 600 ms, one lost message leaves a lease
-// valid. Below the change timeout of 2 s, so that an instance that dies during
-// a change doesn't abort it.
+// Quorum reads and Follow messages are sent every 600 ms, so a lease survives
+// the loss of one message. The lease is shorter than the default change timeout
+// of 2 s, so that an instance that dies during a change doesn't abort it.
 constexpr Duration kConfigurationLease = Milliseconds(1900);
 constexpr Duration kLedgerExpiryPeriod = Seconds(60);
 // A snapshot after this many entries bounds the log on disk and the restart
--- a/main/stage_orders.cc
+++ b/main/stage_orders.cc
@@ -13,9 +13,11 @@
 constexpr Duration kLeaderSettleTime = Seconds(5);
 // A confirmation that took longer doesn't show that this instance still leads.
 constexpr Duration kConfirmTimeout = Milliseconds(500);
-// Delivery to a runner that accepts no connection within this time is
-// cancelled; one that gives no answer may still carry out the order later.
+// An order not sent within this time, for example because the runner accepts no
+// connection, is cancelled and counts as undelivered.
 constexpr Duration kConnectTimeout = Milliseconds(500);
+// After this time, the answer to a sent order is no longer awaited; the runner
+// may still execute the order.
 constexpr Duration kAnswerTimeout = Seconds(5);
 // A runner finishes its streams first; one that takes longer counts as having
 // refused the order.
@@ -23,7 +25,7 @@
 
 }  // namespace
 
-// Logs the answer to one order and keeps its result.
+// Logs how the delivery of one order ended and keeps the result.
 class StageOrders::Delivery : public HttpCallSink {
  public:
   explicit Delivery(Planned planned) : planned_(std::move(planned)) {}
--- a/servers/membership/membership.cc
+++ b/servers/membership/membership.cc
@@ -16,6 +16,8 @@
 // A higher incarnation can only be an error, and accepting it would leave no
 // higher one for a refutation.
 constexpr std::uint64_t kIncarnationMaximum = std::uint64_t{1} << 62;
+// A link's version goes up by one at each change of reachability: even is
+// reachable, odd is unreachable.
 constexpr std::uint32_t kLinkVersionMaximum = 1u << 30;
 constexpr std::size_t kAccusersMaximum = 3;
 // Confirmations that shorten a suspicion to its minimum.
@@ -33,9 +35,11 @@
 // Share of acknowledgement_timeout: a relayed probe must end before the
 // requester's own timeout.
 constexpr double kRelayedTimeoutShare = 0.6;
-// Per reconnect interval, once a member of the data centre is known.
+// Probability of a join attempt per reconnect interval, once another live
+// member of this data centre is known.
 constexpr double kJoinedReconnectProbability = 0.25;
-// Roster comparisons leave probe_reserve_bytes divided by this.
+// The records in a sync reply leave at least probe_reserve_bytes /
+// kSyncReserveDivisor of the byte budget unused.
 constexpr int kSyncReserveDivisor = 2;
 // Added to the health score after a pause.
 constexpr int kPauseHealthPenalty = 2;
--- a/servers/scaling/pool_planner.cc
+++ b/servers/scaling/pool_planner.cc
@@ -112,7 +112,7 @@
 
 PoolPlanner::PoolPlanner(PoolPlannerOptions options, LoadScheduler* scheduler)
     : options_(std::move(options)), scheduler_(scheduler) {
-  // A pool without any endpoint of a role can't serve long prompts.
+  // A pool needs at least one decode endpoint; it may have no prefill endpoint.
   options_.prefill_minimum = std::max(options_.prefill_minimum, 0);
   options_.decode_minimum = std::max(options_.decode_minimum, 1);
 }
--- a/tests/entry/request_forwarder_test.cc
+++ b/tests/entry/request_forwarder_test.cc
@@ -211,9 +211,8 @@
       Is<AbortStream>(forwarder.OnCallFailed(CallFailure::kBroken, kStart)));
 }
 
-// A link loses packets, and many streams stall at once. Ending a stalled stream
-// without enough retry budget to fail over would lose it (hunt-8ad5-31 of
-// kfl-fitting).
+// If a link loses packets, many streams stall at once. A stalled stream that
+// has no retry budget left to fail over must be kept, not ended.
 TEST(RequestForwarder, AStalledRunIsKeptIfItCantFailOver) {
   AddRunners();
   budget = RetryBudget(RetryBudgetOptions{.ratio = 0, .floor_per_second = 0.1});
--- a/tools/fake_endpoint/fake_endpoint.cc
+++ b/tools/fake_endpoint/fake_endpoint.cc
@@ -21,8 +21,8 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr guint kClientTimeoutSeconds = 10;
-/// Section 2 of the design: an endpoint must get no new work later than this
-/// after it announced its departure.
+/// An endpoint must get no new work later than this after it announced its
+/// departure.
 constexpr std::int64_t kDepartureGraceUs = 2 * kMicrosPerSecond;
 /// A departing process runs at least this long, so that new work after the
 /// grace period is counted instead of failing as a refused connection.
@@ -134,11 +134,11 @@
   GCancellable* import = nullptr;
   Timers::Id timer{};
 
-  /// Token counts. `total` is the length of the whole answer; the tokens up to
-  /// `resumed_at` were delivered by another engine.
-  /// Invariant: resumed_at <= sent <= produced <= total.
+  /// Token counts. `total` is the length of the whole answer; its first
+  /// `tokens_delivered_before` tokens were delivered by another engine.
+  /// Invariant: tokens_delivered_before <= sent <= produced <= total.
   std::int64_t total = 0;
-  std::int64_t resumed_at = 0;
+  std::int64_t tokens_delivered_before = 0;
   std::int64_t produced = 0;
   std::int64_t sent = 0;
   bool finish_sent = false;
@@ -375,14 +375,15 @@
   session->prompt = ExtractPrompt(body);
   session->prompt_hash = TextHash(session->prompt);
   session->prompt_tokens = EstimateTokens(session->prompt);
-  session->resumed_at = std::max<std::int64_t>(
+  session->tokens_delivered_before = std::max<std::int64_t>(
       0, GetInteger(body, "cassiausher_resume_tokens", 0));
   const std::int64_t max_tokens = GetInteger(body, "max_tokens", 0);
   session->total =
       AnswerLength(session->prompt_hash, options_.output_tokens, max_tokens);
   session->limited_by_max_tokens = session->total == max_tokens;
-  session->resumed_at = std::min(session->resumed_at, session->total);
-  session->produced = session->sent = session->resumed_at;
+  session->tokens_delivered_before =
+      std::min(session->tokens_delivered_before, session->total);
+  session->produced = session->sent = session->tokens_delivered_before;
   session->reply = call.reply;
   const auto transfer = body.find("kv_transfer_params");
   if (transfer != body.end() && transfer->is_object()) {
@@ -414,7 +415,8 @@
     if (finished != finished_sessions_.end()) session = finished->second;
   }
   if (!session || !session->stream || session->for_remote_decode) return false;
-  if (last_event < session->resumed_at || last_event > session->produced) {
+  if (last_event < session->tokens_delivered_before ||
+      last_event > session->produced) {
     return false;
   }
   const std::shared_ptr<Reply> previous = session->reply;
@@ -489,8 +491,9 @@
               static_cast<const char*>(g_bytes_get_data(answer, nullptr)) +
                   g_bytes_get_size(answer),
               nullptr, false);
-          // The text is generated from the imported KV cache, so that the
-          // checker detects a cache of another prompt as a mixed answer.
+          // The text is generated from the imported KV cache, so that
+          // tools/load/checker reports text from the cache of another prompt
+          // as other_request or mixed.
           if (status == 200 && export_answer.is_object()) {
             import->session->prompt_hash = static_cast<std::uint32_t>(
                 GetInteger(export_answer, "prompt_hash", 0));
@@ -727,7 +730,7 @@
   }
   if (session.sent == session.total && !session.finish_sent) {
     session.finish_sent = true;
-    if (session.resumed_at == session.total) {
+    if (session.tokens_delivered_before == session.total) {
       AppendChunk(session, session.total + 1, &out);
     }
     out += session.late_chunk;
@@ -767,7 +770,8 @@
 void FakeEndpoint::Finish(const SessionPtr& session) {
   if (!session->stream) {
     std::string text;
-    for (std::int64_t n = session->resumed_at + 1; n <= session->total; ++n) {
+    for (std::int64_t n = session->tokens_delivered_before + 1;
+         n <= session->total; ++n) {
       AppendToken(session->prompt_hash, n, session->total, &text);
     }
     json choice = {
--- a/tools/load/load_worker.cc
+++ b/tools/load/load_worker.cc
@@ -45,9 +45,9 @@
   Timers::Id timeout_timer{};
   Timers::Id cancel_timer{};
   bool events = false;
-  bool finished = false;
-  bool done = false;
-  bool ended = false;
+  bool complete = false;
+  bool saw_done_event = false;
+  bool recorded = false;
   bool in_error = false;
   std::int64_t tokens = 0;
   std::int64_t last_token_us = 0;
@@ -112,7 +112,7 @@
   } else {
     for (std::int64_t i = 0; i < concurrency_ && !Ended(); ++i) StartRequest();
   }
-  ScheduleEndCheck();
+  ScheduleWakeup();
   while (open_requests_ > 0 || !Ended())
     g_main_context_iteration(context_, TRUE);
   totals_.seconds = ToSeconds(Duration(Elapsed()));
@@ -125,9 +125,9 @@
   g_main_context_pop_thread_default(context_);
 }
 
-void LoadWorker::ScheduleEndCheck() {
+void LoadWorker::ScheduleWakeup() {
   constexpr std::int64_t kPeriodUs = 50'000;
-  timers_->Schedule(Timers::Now() + kPeriodUs, [this] { ScheduleEndCheck(); });
+  timers_->Schedule(Timers::Now() + kPeriodUs, [this] { ScheduleWakeup(); });
 }
 
 void LoadWorker::OnArrival() {
@@ -243,7 +243,7 @@
       now + static_cast<std::int64_t>(random_.Below(kMaxDuplicateDelayUs)),
       [this, weak, request, gives_up] {
         const ExchangePtr open = weak.lock();
-        if (!open || open->ended || request->duplicated) return;
+        if (!open || open->recorded || request->duplicated) return;
         request->duplicated = true;
         ++request->last_target;
         StartAttempt(request);
@@ -252,7 +252,7 @@
 }
 
 void LoadWorker::Close(const ExchangePtr& exchange, Outcome outcome) {
-  if (exchange->ended) return;
+  if (exchange->recorded) return;
   g_cancellable_cancel(exchange->cancel);
   End(exchange, outcome);
 }
@@ -264,7 +264,7 @@
   GError* error = nullptr;
   exchange->input =
       soup_session_send_finish(SOUP_SESSION(source), result, &error);
-  if (exchange->ended) {
+  if (exchange->recorded) {
     g_clear_error(&error);
     return;
   }
@@ -296,7 +296,7 @@
   GError* error = nullptr;
   const gssize size =
       g_input_stream_read_finish(G_INPUT_STREAM(source), result, &error);
-  if (exchange->ended) {
+  if (exchange->recorded) {
     g_clear_error(&error);
     return;
   }
@@ -316,7 +316,7 @@
     exchange->pending.erase(0, at);
   }
   const std::int64_t limit = exchange->request->plan.cancel_after_tokens;
-  if (limit > 0 && exchange->tokens >= limit && !exchange->done) {
+  if (limit > 0 && exchange->tokens >= limit && !exchange->saw_done_event) {
     return worker.Close(exchange, Outcome::kCancelled);
   }
   worker.Read(exchange);
@@ -324,7 +324,7 @@
 
 void LoadWorker::OnEvent(Exchange& exchange, std::string_view data) {
   if (data == "[DONE]") {
-    exchange.done = true;
+    exchange.saw_done_event = true;
     return;
   }
   const json event = json::parse(data, nullptr, false);
@@ -340,7 +340,7 @@
     OnText(exchange, text->get_ref<const std::string&>());
   }
   const auto finish = choice.find("finish_reason");
-  if (finish != choice.end() && finish->is_string()) exchange.finished = true;
+  if (finish != choice.end() && finish->is_string()) exchange.complete = true;
 }
 
 void LoadWorker::OnText(Exchange& exchange, std::string_view text) {
@@ -361,12 +361,12 @@
 void LoadWorker::OnEndOfBody(const ExchangePtr& exchange) {
   if (exchange->in_error) return End(exchange, Outcome::kFailed);
   if (exchange->events) {
-    const bool whole = exchange->finished && exchange->done;
+    const bool whole = exchange->complete && exchange->saw_done_event;
     return End(exchange, whole ? Outcome::kAnswered : Outcome::kCut);
   }
   ParseWholeAnswer(*exchange);
   if (exchange->record.status == SOUP_STATUS_OK) {
-    const bool answered = exchange->finished && !exchange->record.stream;
+    const bool answered = exchange->complete && !exchange->record.stream;
     return End(exchange, answered ? Outcome::kAnswered : Outcome::kMalformed);
   }
   End(exchange, exchange->in_error ? Outcome::kRefused : Outcome::kMalformed);
@@ -378,7 +378,7 @@
   if (body.contains("error")) return ParseError(body["error"], exchange);
   if (exchange.record.plain) {
     exchange.record.answer = body.value("body_hash", "");
-    exchange.finished = true;
+    exchange.complete = true;
     return;
   }
   const json::json_pointer text("/choices/0/text");
@@ -386,7 +386,7 @@
   exchange.text = body[text].get<std::string>();
   exchange.tokens = std::count(exchange.text.begin(), exchange.text.end(), '-');
   totals_.services[exchange.record.service].tokens += exchange.tokens;
-  exchange.finished = true;
+  exchange.complete = true;
 }
 
 void LoadWorker::ParseError(const json& error, Exchange& exchange) {
@@ -414,7 +414,7 @@
 }
 
 void LoadWorker::End(const ExchangePtr& exchange, Outcome outcome) {
-  exchange->ended = true;
+  exchange->recorded = true;
   timers_->Cancel(exchange->timeout_timer);
   timers_->Cancel(exchange->cancel_timer);
   exchange->record.end_us = Elapsed();
--- a/tools/load/load_worker.h
+++ b/tools/load/load_worker.h
@@ -70,8 +70,9 @@
 
   std::int64_t Elapsed() const;
   bool Ended() const;
-  /// Wakes the main loop periodically, so that Run notices the end of the run.
-  void ScheduleEndCheck();
+  /// Wakes the main loop periodically, so that Run() checks whether the run has
+  /// ended.
+  void ScheduleWakeup();
   void OnArrival();
   void StartRequest();
   void StartAttempt(const std::shared_ptr<Request>& request);
--- a/tools/policy_bench/simulation.cc
+++ b/tools/policy_bench/simulation.cc
@@ -26,7 +26,7 @@
 constexpr Duration kRestartDelay = Seconds(10);
 constexpr int kMaxAttempts = 4;
 /// A caller cancels if it has no first token after this many times the target.
-constexpr int kCallerPatience = 3;
+constexpr int kCallerTimeoutInTargets = 3;
 /// A request misses its target if a larger share of its token gaps is too long.
 constexpr double kMaxLateGapShare = 0.05;
 constexpr double kCacheEventLossRate = 0.1;
@@ -216,8 +216,8 @@
     if (decode.removed)
       RecordViolation("grant to an endpoint that was removed as dead");
     decode.granted.insert(grant->request);
-    const bool promises_slots = options_.policy == "reserving";
-    if (promises_slots &&
+    const bool reserves_slots = options_.policy == "reserving";
+    if (reserves_slots &&
         static_cast<int>(decode.granted.size()) > decode.info.slots)
       RecordViolation("slots over-committed");
     scheduler_.After(HopTo(*active), [this, active, grant = *grant] {
@@ -258,7 +258,7 @@
              static_cast<std::size_t>(arrival.service)]
           .get();
   SendAdmit(active);
-  scheduler_.After(kCallerPatience * active->targets.first_token,
+  scheduler_.After(kCallerTimeoutInTargets * active->targets.first_token,
                    [this, active] {
                      if (active->delivered == 0) CallerCancels(active, false);
                    });
@@ -601,9 +601,9 @@
     std::vector<Runner*> candidates;
     for (const auto& runner : runners_) {
       const auto service = static_cast<std::size_t>(runner->pool->service);
-      const bool shared =
+      const bool has_prefill_runners =
           options_.deployment.services[service].prefill_runners > 0;
-      if (runner->info.role == role && shared)
+      if (runner->info.role == role && has_prefill_runners)
         candidates.push_back(runner.get());
     }
     Kill(*candidates[random_.Below(candidates.size())]);
