--- a/drivers/peer_transport.cc
+++ b/drivers/peer_transport.cc
@@ -14,8 +14,9 @@
 
 constexpr int kReconnectMs = 50;
 constexpr int kMaxReconnectMs = 300;
-// While a partition drops packets, the kernel doubles the interval between SYN
-// retransmissions; an attempt begun then would outlast the partition.
+// Limits each connection attempt. During a partition the kernel doubles the
+// interval between SYN retransmissions, so a long attempt could stay
+// unconnected well after the partition ends.
 constexpr int kConnectTimeoutMs = 700;
 constexpr int kHandshakeTimeoutMs = 1000;
 constexpr int kMaxQueuedMessages = 20000;
--- a/modules/policy_greedy/greedy_policy.cc
+++ b/modules/policy_greedy/greedy_policy.cc
@@ -1,4 +1,5 @@
-// Placement by what is currently free.
+// Places requests in order of arrival, each on the available decode endpoint
+// with the most unused slots.
 #include "modules/policy_greedy/greedy_policy.h"
 
 #include <algorithm>
@@ -9,9 +10,9 @@
 namespace {
 
 constexpr Duration kRetryAfter = Milliseconds(500);
-/// A request may spend this fraction (1/divisor) of its first-token target in
-/// the queue. The rest is left for another data centre's pool or for its own
-/// execution.
+/// A queued request is refused once its first-token target divided by this has
+/// passed since its arrival. The rest of the target is left for another data
+/// centre's pool or for its own execution.
 constexpr int kQueueTimeDivisor = 2;
 
 /// Slots not in use now, including those granted to requests that are still
--- a/scripts/live_bench.py
+++ b/scripts/live_bench.py
@@ -164,7 +164,7 @@
     return []
 
 
-def kill_entry(deployment):
+def kill_non_voter(deployment):
     deployment.kill(deployment.instances()[1]["name"])
 
 
@@ -173,7 +173,7 @@
 
 
 def kill_two(deployment):
-    """Kills the second instance right after the first has been restarted."""
+    """Kills the voter of one data centre and, once it has been restarted, the voter of another."""
     names = [i["name"] for i in deployment.instances()]
     deployment.kill(names[0], 1.0)
     deployment.kill(names[3], 1.0)
@@ -254,7 +254,7 @@
     return findings
 
 
-def endpoint_storm(deployment):
+def many_endpoint_faults(deployment):
     """Kills, stalls and silences endpoints and makes them send late and repeated chunks, for a minute."""
     late_and_repeated(deployment)
     kill_decode(deployment)
@@ -271,7 +271,7 @@
 def random_pair(seed):
     def inject(deployment):
         rng = random.Random(seed)
-        kinds = [kill_entry, kill_voter, freeze, kill_decode, kill_prefill, stall, silence, late_and_repeated]
+        kinds = [kill_non_voter, kill_voter, freeze, kill_decode, kill_prefill, stall, silence, late_and_repeated]
         first, second = rng.sample(kinds, 2)
         other = threading.Thread(target=first, args=(deployment,))
         other.start()
@@ -392,7 +392,7 @@
     everything = [
         ("steady", "kaewmanee", 60, 15, no_faults, False),
         ("overload", "association", 250, 15, no_faults, False),
-        ("kill-entry", "kaewmanee", 60, 15, kill_entry, False),
+        ("kill-entry", "kaewmanee", 60, 15, kill_non_voter, False),
         ("kill-voter", "association", 60, 15, kill_voter, False),
         ("kill-two", "kaewmanee", 60, 20, kill_two, False),
         ("freeze", "kaewmanee", 60, 18, freeze, False),
@@ -405,7 +405,7 @@
         ("refuse-cancels", "kaewmanee", 60, 15, refuse_cancels, False),
         ("depart", "association", 60, 15, depart, False),
         ("cut-data-centre", "kaewmanee", 40, 25, cut_data_centre, True),
-        ("ten-thousand", "association", 150, 70, endpoint_storm, False),
+        ("ten-thousand", "association", 150, 70, many_endpoint_faults, False),
         ("operators", "kaewmanee", 10, 12, concurrent_operators(seed, no_faults), False),
         ("operators-disturbed", "kaewmanee", 10, 30, concurrent_operators(seed, inject_voter_faults), False),
     ]
--- a/scripts/local_deployment.py
+++ b/scripts/local_deployment.py
@@ -301,7 +301,8 @@
     if leftover and not (folder / "addresses.stopped.json").exists():
         raise SystemExit(f"{folder} contains files that are not from a stopped deployment: {', '.join(leftover)}")
     for part in ("log", "settings", "data"):
-        # A stopped deployment leaves its files; its log would restore the old configuration and tokens.
+        # A stopped deployment leaves its files; the replicated log in `data` would restore the old configuration and
+        # token hashes.
         shutil.rmtree(folder / part, ignore_errors=True)
         (folder / part).mkdir(parents=True)
     tokens = {kind: write_token(folder / (kind + ".token")) for kind in ("admin", "caller", "endpoint")}
